--- a/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
@@ -45,33 +45,33 @@
     @Nested
     class Emptying {
 
-        private RunningReport atWork(int index, int run, int percent) {
-            return new RunningReport("a", new TaskId(0, 0, index), run, "", percent, -1);
+        private RunStatus atWork(int index, int run, int percent) {
+            return new RunStatus("a", new TaskId(0, 0, index), run, "", percent, -1);
         }
 
         private void threeAtWork() {
-            d.workers("w1", "w2", "w3", "w4", "w5");
+            d.listWorkers("w1", "w2", "w3", "w4", "w5");
             for (String w : List.of("w1", "w2", "w3", "w4", "w5")) {
-                d.answers(w, List.of(), List.of());
+                d.answerHold(w, List.of(), List.of());
             }
-            d.job("a", THREE_LASTING);
-            d.saved();
+            d.submit("a", THREE_LASTING);
+            d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
-            d.passes(10);
+            d.advance(10);
             for (StartOrder s : List.copyOf(d.port.starts)) {
-                d.answers(s.worker().id(), List.of(atWork(s.task().index(), 1, 100)), List.of());
+                d.answerHold(s.worker().id(), List.of(atWork(s.task().index(), 1, 100)), List.of());
             }
         }
 
         private void aTaskOfASecondRuns() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job(
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit(
                     "a",
                     StepSpec.builder(1, SchedulerDriver.NEED)
                             .estimateMillis(1_000)
                             .build());
-            d.saved();
+            d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
         }
 
@@ -89,12 +89,12 @@
         @Test
         void movesNothingWhileAnotherTasksWorkerIsSilent() {
             threeAtWork();
-            d.passes(1_400);
+            d.advance(1_400);
             StartOrder leaving = d.port.starts.get(0);
             StartOrder heard = d.port.starts.get(1);
-            d.answers(leaving.worker().id(), List.of(atWork(leaving.task().index(), 1, 100)), List.of());
-            d.answers(heard.worker().id(), List.of(atWork(heard.task().index(), 1, 100)), List.of());
-            d.passes(200);
+            d.answerHold(leaving.worker().id(), List.of(atWork(leaving.task().index(), 1, 100)), List.of());
+            d.answerHold(heard.worker().id(), List.of(atWork(heard.task().index(), 1, 100)), List.of());
+            d.advance(200);
             d.scheduler.onEvacuations(Set.of(leaving.worker().id()), Set.of());
             d.scheduler.tick();
             assertTrue(d.port.stops.isEmpty(), "the third task may be gone with its worker");
@@ -103,20 +103,20 @@
         /** A stop may take most of a second; until it ends, what it stops still looks as if it were at work to a new owner. */
         @Test
         void movesNothingWhileAnEarlierOwnersStopMayBeAtWork() {
-            d.workers("w1", "w2", "w3");
+            d.listWorkers("w1", "w2", "w3");
             List<TaskRecord> placed = List.of(
                     new TaskRecord(0, 0, 0, 1, 0, false, "w1", ""), new TaskRecord(0, 0, 1, 1, 0, false, "w2", ""));
             StepSpec two = StepSpec.builder(2, SchedulerDriver.NEED)
                     .longRunning(true, 1)
                     .build();
-            d.job("a", new JobProgress(JobState.RUNNING, placed, "", 0), two);
-            d.answers("w1", List.of(atWork(0, 1, 100)), List.of());
-            d.answers("w2", List.of(atWork(1, 1, 100)), List.of());
-            d.answers("w3", List.of(), List.of());
+            d.submit("a", new JobProgress(JobState.RUNNING, placed, "", 0), two);
+            d.answerHold("w1", List.of(atWork(0, 1, 100)), List.of());
+            d.answerHold("w2", List.of(atWork(1, 1, 100)), List.of());
+            d.answerHold("w3", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-            d.passes(SchedulerDriver.STOP_MILLIS);
+            d.advance(SchedulerDriver.STOP_MILLIS);
             assertTrue(d.port.stops.isEmpty(), "the other task may be about to end by the earlier owner's order");
-            d.passes(1);
+            d.advance(1);
             assertEquals(1, d.port.stops.size());
         }
 
@@ -129,12 +129,12 @@
         void thatIsUrgentStopsWhatIsLateAndWaitsForItsEnd() {
             aTaskOfASecondRuns();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
-            d.passes(1_600);
+            d.advance(1_600);
             assertTrue(d.port.emptied.isEmpty(), "what ends there now could not be told any more");
             assertEquals(1, d.port.stops.size(), "it is late, and other work waits for the instance");
             d.scheduler.onStopped(d.port.stops.get(0), OrderOutcome.ACCEPTED);
-            d.answers("w1", List.of(), List.of(done()));
-            d.saved();
+            d.answerHold("w1", List.of(), List.of(done()));
+            d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
             assertEquals(1, d.port.starts.size(), "it ended done before the stop");
         }
@@ -143,12 +143,12 @@
         void thatIsNotUrgentLetsTasksEndWhereTheyAre() {
             aTaskOfASecondRuns();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-            d.passes(1_600);
+            d.advance(1_600);
             assertTrue(d.port.emptied.isEmpty());
         }
 
-        private EndReport done() {
-            return new EndReport(1, "a", new TaskId(0, 0, 0), 1, EndKind.DONE, "");
+        private RunResult done() {
+            return new RunResult(1, "a", new TaskId(0, 0, 0), 1, EndKind.DONE, "");
         }
 
         /** Until a record says so, only the worker can tell the next owner that the task is done. */
@@ -156,11 +156,11 @@
         void isNotToldBeforeEndsThatTheWorkerToldAreDurable() {
             aTaskOfASecondRuns();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-            d.passes(100);
-            d.answers("w1", List.of(), List.of(done()));
-            d.passes(100);
+            d.advance(100);
+            d.answerHold("w1", List.of(), List.of(done()));
+            d.advance(100);
             assertTrue(d.port.emptied.isEmpty(), "the next owner would find a run on a worker that is gone");
-            d.saved();
+            d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
         }
 
@@ -168,18 +168,18 @@
         void thatIsUrgentWaitsForSuchEndsToo() {
             aTaskOfASecondRuns();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
-            d.passes(100);
-            d.answers("w1", List.of(), List.of(done()));
-            d.passes(100);
+            d.advance(100);
+            d.answerHold("w1", List.of(), List.of(done()));
+            d.advance(100);
             assertTrue(d.port.emptied.isEmpty());
-            d.saved();
+            d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
         }
 
         @Test
         void isToldWhenNothingIsLeft() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.scheduler.tick();
             assertTrue(d.port.emptied.contains("w1"));
@@ -187,12 +187,12 @@
 
         @Test
         void thatIsOverAsksForAnAnswerBeforeNewTasks() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.scheduler.onEvacuations(Set.of(), Set.of());
-            d.job("a", ONE);
-            d.saved();
+            d.submit("a", ONE);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty(), "its instance may have been ordered away meanwhile");
         }
     }
@@ -206,12 +206,12 @@
         private String leaving = "";
 
         private void oneOfThreeIsUnlisted() {
-            d.workers("w1", "w2", "w3", "w4", "w5");
+            d.listWorkers("w1", "w2", "w3", "w4", "w5");
             answerAll();
-            d.job("a", THREE_LASTING);
-            d.saved();
+            d.submit("a", THREE_LASTING);
+            d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
-            d.passes(10);
+            d.advance(10);
             answerAll();
             leaving = d.port.starts.get(0).worker().id();
             listAllBut(leaving);
@@ -219,16 +219,16 @@
 
         private void answerAll() {
             for (String w : List.of("w1", "w2", "w3", "w4", "w5")) {
-                List<RunningReport> running = d.port.starts.stream()
+                List<RunStatus> running = d.port.starts.stream()
                         .filter(s -> s.worker().id().equals(w))
-                        .map(s -> new RunningReport("a", s.task(), s.run(), "", 100, -1))
+                        .map(s -> new RunStatus("a", s.task(), s.run(), "", 100, -1))
                         .toList();
-                d.answers(w, running, List.of());
+                d.answerHold(w, running, List.of());
             }
         }
 
         private void listAllBut(String worker) {
-            d.workers(Stream.of("w1", "w2", "w3", "w4", "w5")
+            d.listWorkers(Stream.of("w1", "w2", "w3", "w4", "w5")
                     .filter(w -> !w.equals(worker))
                     .toArray(String[]::new));
         }
@@ -236,10 +236,10 @@
         @Test
         void isEmptiedOfWhatLastsBeforeItEnds() {
             oneOfThreeIsUnlisted();
-            d.passes(RETURN_MILLIS);
+            d.advance(RETURN_MILLIS);
             answerAll();
             assertTrue(d.port.stops.isEmpty(), "its entry may have lapsed, and be back");
-            d.passes(1);
+            d.advance(1);
             assertEquals(
                     List.of(leaving),
                     d.port.stops.stream().map(s -> s.worker().id()).toList());
@@ -248,10 +248,10 @@
         @Test
         void thatComesBackIsLeftAlone() {
             oneOfThreeIsUnlisted();
-            d.passes(RETURN_MILLIS);
+            d.advance(RETURN_MILLIS);
             listAllBut("");
             answerAll();
-            d.passes(1_000);
+            d.advance(1_000);
             assertTrue(d.port.stops.isEmpty());
         }
 
@@ -269,9 +269,9 @@
                     .filter(h -> h.worker().id().equals(leaving))
                     .reduce((a, b) -> b)
                     .orElseThrow();
-            RunningReport run = new RunningReport(
+            RunStatus run = new RunStatus(
                     "a", d.port.starts.get(0).task(), d.port.starts.get(0).run(), "", 100, -1);
-            d.scheduler.onHeld(last, d.now, new HoldAnswer(100_000 + d.now, List.of(run), List.of()));
+            d.scheduler.onHoldAnswered(last, d.now, new HoldResponse(100_000 + d.now, List.of(run), List.of()));
             d.scheduler.tick();
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/FakePort.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/FakeSchedulerPort.java
@@ -19,14 +19,14 @@
 import java.util.List;
 
 /** Keeps what a scheduler asks for. */
-final class FakePort implements SchedulerPort {
+final class FakeSchedulerPort implements SchedulerPort {
 
     final List<StartOrder> starts = new ArrayList<>();
     final List<StopOrder> stops = new ArrayList<>();
     final List<HoldOrder> holds = new ArrayList<>();
     final List<PaceOrder> paces = new ArrayList<>();
-    final List<AdviceOrder> advice = new ArrayList<>();
-    final List<List<Saving>> saves = new ArrayList<>();
+    final List<AdviceRequest> advice = new ArrayList<>();
+    final List<List<ProgressWrite>> saves = new ArrayList<>();
     final List<String> emptied = new ArrayList<>();
     final List<String> lost = new ArrayList<>();
     final List<SchedulerEvent> events = new ArrayList<>();
@@ -57,12 +57,12 @@
     }
 
     @Override
-    public void advise(AdviceOrder order) {
+    public void advise(AdviceRequest order) {
         advice.add(order);
     }
 
     @Override
-    public void save(List<Saving> batch) {
+    public void save(List<ProgressWrite> batch) {
         saves.add(batch);
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacedGangTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/GangPlacementTest.java
@@ -22,23 +22,23 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /** Members of a gang run together or not at all, also when one of them is not to be started where it was placed. */
-class PlacedGangTest {
+class GangPlacementTest {
 
     private final SchedulerDriver d = new SchedulerDriver();
 
     @Test
     void theOthersAreNotStartedAlone() {
-        d.listed(SchedulerDriver.onRack("w1", "r1"), SchedulerDriver.onRack("w2", "r2"));
+        d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
         StepSpec gang = StepSpec.builder(2, new StepSpec.Need(4_000, 100, 0))
                 .gang(true, false)
                 .build();
-        d.job("a", gang);
-        d.passes(50);
+        d.submit("a", gang);
+        d.advance(50);
         d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-        d.passes(10);
+        d.advance(10);
         for (int i = 0; i < 5; i++) {
-            d.saved();
-            d.passes(50);
+            d.completeSaves();
+            d.advance(50);
         }
         assertNotEquals(1, d.port.starts.size(), "the other has no worker: this one waits for it, and ends alone");
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
@@ -47,9 +47,9 @@
     }
 
     private void bothRun() {
-        d.listed(SchedulerDriver.onRack("w1", "r1"), SchedulerDriver.onRack("w2", "r2"));
-        d.job("a", gang(2, 4_000, false));
-        d.saved();
+        d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
+        d.submit("a", gang(2, 4_000, false));
+        d.completeSaves();
         d.port.starts.forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
@@ -62,8 +62,8 @@
 
     private void ends(TaskId t, EndKind kind, String checkpoint) {
         StartOrder s = startOf(t);
-        d.passes(10);
-        d.answers(s.worker().id(), List.of(), List.of(new EndReport(1, "a", t, s.run(), kind, checkpoint)));
+        d.advance(10);
+        d.answerHold(s.worker().id(), List.of(), List.of(new RunResult(1, "a", t, s.run(), kind, checkpoint)));
     }
 
     @Nested
@@ -71,11 +71,11 @@
 
         @Test
         void startNowhereUntilThereIsRoomForAll() {
-            d.listed(SchedulerDriver.onRack("w1", "r1"));
-            d.job("a", gang(2, 4_000, false));
+            d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"));
+            d.submit("a", gang(2, 4_000, false));
             assertTrue(d.port.saves.isEmpty());
-            d.listed(SchedulerDriver.onRack("w1", "r1"), SchedulerDriver.onRack("w2", "r2"));
-            d.saved();
+            d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
+            d.completeSaves();
             assertEquals(2, d.port.starts.size());
         }
 
@@ -87,14 +87,14 @@
             assertEquals(1, d.port.stops.size(), "the other member is stopped");
             StopOrder stop = d.port.stops.get(0);
             d.scheduler.onStopped(stop, OrderOutcome.ACCEPTED);
-            d.passes(10);
-            d.answers(stop.worker().id(), List.of(), List.of());
-            d.passes(5_000);
-            d.listed(
-                    SchedulerDriver.onRack("w1", "r1"),
-                    SchedulerDriver.onRack("w2", "r2"),
-                    SchedulerDriver.onRack("w3", "r3"));
-            d.saved();
+            d.advance(10);
+            d.answerHold(stop.worker().id(), List.of(), List.of());
+            d.advance(5_000);
+            d.listAndAnswer(
+                    SchedulerDriver.workerOnRack("w1", "r1"),
+                    SchedulerDriver.workerOnRack("w2", "r2"),
+                    SchedulerDriver.workerOnRack("w3", "r3"));
+            d.completeSaves();
             assertEquals(2, startOf(FIRST).run());
             assertEquals(2, startOf(SECOND).run());
             assertEquals("saved-1", startOf(FIRST).checkpoint());
@@ -105,20 +105,20 @@
         void areAllDoneWhenOneEndsDone() {
             bothRun();
             ends(FIRST, EndKind.DONE, "");
-            d.saved();
-            d.passes(50);
+            d.completeSaves();
+            d.advance(50);
             assertEquals(1, d.port.stops.size(), "whatever the other still does is ended");
             assertEquals(2, d.port.starts.size());
         }
 
         @Test
         void areStoppedWhenAWorkerRefusesOne() {
-            d.listed(SchedulerDriver.onRack("w1", "r1"), SchedulerDriver.onRack("w2", "r2"));
-            d.job("a", gang(2, 4_000, false));
-            d.saved();
+            d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
+            d.submit("a", gang(2, 4_000, false));
+            d.completeSaves();
             d.scheduler.onStarted(d.port.starts.get(0), OrderOutcome.ACCEPTED);
             d.scheduler.onStarted(d.port.starts.get(1), OrderOutcome.NO_ROOM);
-            d.passes(0);
+            d.advance(0);
             assertEquals(1, d.port.stops.size(), "it would wait alone");
         }
     }
@@ -128,20 +128,20 @@
 
         @Test
         void theyAreTogetherIfARackHasRoom() {
-            d.listed(
-                    SchedulerDriver.onRack("w1", "r1"),
-                    SchedulerDriver.onRack("w2", "r2"),
-                    SchedulerDriver.onRack("w3", "r2"));
-            d.job("a", gang(2, 4_000, true));
-            d.saved();
+            d.listAndAnswer(
+                    SchedulerDriver.workerOnRack("w1", "r1"),
+                    SchedulerDriver.workerOnRack("w2", "r2"),
+                    SchedulerDriver.workerOnRack("w3", "r2"));
+            d.submit("a", gang(2, 4_000, true));
+            d.completeSaves();
             assertEquals(Set.of("w2", "w3"), workersOfStarts());
         }
 
         @Test
         void theyStartApartRatherThanNot() {
-            d.listed(SchedulerDriver.onRack("w1", "r1"), SchedulerDriver.onRack("w2", "r2"));
-            d.job("a", gang(2, 4_000, true));
-            d.saved();
+            d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
+            d.submit("a", gang(2, 4_000, true));
+            d.completeSaves();
             assertEquals(2, d.port.starts.size());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
@@ -52,17 +52,17 @@
     }
 
     private void accept() {
-        d.saved();
+        d.completeSaves();
         List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
     /** Lets the newest run of a task fail; returns on which worker. */
-    private String fails(TaskId t, long number, RunningReport... others) {
+    private String fails(TaskId t, long number, RunStatus... others) {
         StartOrder s = startOf(t);
-        EndReport e = new EndReport(number, "a", t, s.run(), EndKind.FAILED, "");
-        d.passes(50);
-        d.answers(s.worker().id(), List.of(others), List.of(e));
-        d.passes(50);
+        RunResult e = new RunResult(number, "a", t, s.run(), EndKind.FAILED, "");
+        d.advance(50);
+        d.answerHold(s.worker().id(), List.of(others), List.of(e));
+        d.advance(50);
         accept();
         return s.worker().id();
     }
@@ -72,14 +72,14 @@
     }
 
     private void twoAttemptsOfTheFirstTaskFail() {
-        d.workers("w1", "w2", "w3");
+        d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
-        d.job("a", TWO);
+        d.submit("a", TWO);
         accept();
         assertEquals(startOf(task(0)).worker(), startOf(task(1)).worker(), "both run on one worker");
-        fails(task(0), 1, new RunningReport("a", task(1), 1, "", 50, -1));
+        fails(task(0), 1, new RunStatus("a", task(1), 1, "", 50, -1));
         fails(task(0), 1);
         assertEquals(3, d.port.starts.size() - (startOf(task(0)).run() == 3 ? 1 : 0));
     }
@@ -87,7 +87,7 @@
     @Test
     void waitsForAWorkerOnWhichSomethingHasEndedWell() {
         twoAttemptsOfTheFirstTaskFail();
-        d.passes(1_000);
+        d.advance(1_000);
         assertEquals(2, startOf(task(0)).run(), "nothing speaks for the third worker yet");
     }
 
@@ -96,13 +96,13 @@
     void goesToTheWorkerThatHasDoneWellSinceAlsoIfItFailedThereBefore() {
         twoAttemptsOfTheFirstTaskFail();
         StartOrder second = startOf(task(1));
-        d.passes(500);
-        d.answers(
+        d.advance(500);
+        d.answerHold(
                 second.worker().id(),
                 List.of(),
                 List.of(
-                        new EndReport(1, "a", task(0), 1, EndKind.FAILED, ""),
-                        new EndReport(2, "a", task(1), second.run(), EndKind.DONE, "")));
+                        new RunResult(1, "a", task(0), 1, EndKind.FAILED, ""),
+                        new RunResult(2, "a", task(1), second.run(), EndKind.DONE, "")));
         accept();
         assertEquals(3, startOf(task(0)).run());
         assertEquals(second.worker(), startOf(task(0)).worker());
@@ -113,14 +113,13 @@
     void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
         twoAttemptsOfTheFirstTaskFail();
         for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
-            d.passes(250);
+            d.advance(250);
             for (String w : List.of("w1", "w2", "w3")) {
                 StartOrder s = startOf(task(1));
                 boolean there = s.worker().id().equals(w);
-                d.answers(
-                        w, there ? List.of(new RunningReport("a", task(1), 1, "", 60 + i, -1)) : List.of(), List.of());
+                d.answerHold(w, there ? List.of(new RunStatus("a", task(1), 1, "", 60 + i, -1)) : List.of(), List.of());
             }
-            d.saved();
+            d.completeSaves();
         }
         assertTrue(startOf(task(0)).run() == 3, "the third attempt has been made");
     }
@@ -128,17 +127,17 @@
     /** Its caller had better hear soon that it can not be done: it fails where others end well. */
     @Test
     void isMadeAtOnceForWhatHasFailedOnAProvenWorker() {
-        d.workers("w1", "w2", "w3");
+        d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
-        d.job("b", StepSpec.builder(1, SchedulerDriver.NEED).build());
+        d.submit("b", StepSpec.builder(1, SchedulerDriver.NEED).build());
         accept();
         String proven = d.lastStart().worker().id();
-        d.passes(50);
-        d.answers(proven, List.of(), List.of(new EndReport(1, "b", task(0), 1, EndKind.DONE, "")));
-        d.job("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
-        d.passes(50);
+        d.advance(50);
+        d.answerHold(proven, List.of(), List.of(new RunResult(1, "b", task(0), 1, EndKind.DONE, "")));
+        d.submit("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
+        d.advance(50);
         accept();
         assertEquals("a", d.lastStart().jobId());
         assertEquals(proven, d.lastStart().worker().id());
@@ -162,18 +161,18 @@
                 0);
 
         private void takesOver() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", TWO_FAILED, TWO);
-            d.saved();
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", TWO_FAILED, TWO);
+            d.completeSaves();
         }
 
         @Test
         void waitsForAWorkerOnWhichSomethingHasEndedWell() {
             takesOver();
             assertTrue(d.port.starts.isEmpty(), "nothing speaks for the first worker yet");
-            d.answers("w2", List.of(), List.of(new EndReport(1, "a", task(1), 1, EndKind.DONE, "")));
-            d.saved();
+            d.answerHold("w2", List.of(), List.of(new RunResult(1, "a", task(1), 1, EndKind.DONE, "")));
+            d.completeSaves();
             assertEquals("w2", d.lastStart().worker().id());
         }
 
@@ -181,9 +180,9 @@
         void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
             takesOver();
             for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
-                d.passes(250);
-                d.answers("w1", List.of(), List.of());
-                d.saved();
+                d.advance(250);
+                d.answerHold("w1", List.of(), List.of());
+                d.completeSaves();
             }
             assertEquals(task(0), d.lastStart().task());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
@@ -92,8 +92,8 @@
 
     private final class Worker {
         final WorkerFacts facts;
-        final Map<String, RunningReport> running = new LinkedHashMap<>();
-        final List<EndReport> ends = new ArrayList<>();
+        final Map<String, RunStatus> running = new LinkedHashMap<>();
+        final List<RunResult> ends = new ArrayList<>();
         long lastEnd;
         Runnable waiting = () -> {};
 
@@ -104,7 +104,7 @@
         void start(StartOrder o) {
             boolean lasting = o.jobId().startsWith("lasting");
             String name = o.jobId() + o.task();
-            running.put(name, new RunningReport(o.jobId(), o.task(), o.run(), "", lasting ? 100 : 50, -1));
+            running.put(name, new RunStatus(o.jobId(), o.task(), o.run(), "", lasting ? 100 : 50, -1));
             if (!lasting) {
                 at(1_000 + Math.floorMod(name.hashCode(), 700), () -> end(o, name));
             }
@@ -112,7 +112,7 @@
 
         private void end(StartOrder o, String name) {
             if (running.remove(name) != null) {
-                ends.add(new EndReport(++lastEnd, o.jobId(), o.task(), o.run(), EndKind.DONE, ""));
+                ends.add(new RunResult(++lastEnd, o.jobId(), o.task(), o.run(), EndKind.DONE, ""));
                 ended++;
                 answer();
             }
@@ -124,8 +124,8 @@
             waiting = () -> {
                 if (!answered[0]) {
                     answered[0] = true;
-                    HoldAnswer a = new HoldAnswer(100_000 + now, List.copyOf(running.values()), List.copyOf(ends));
-                    at(CALL_MILLIS, () -> event("held", () -> scheduler.onHeld(o, sentAt, a)));
+                    HoldResponse a = new HoldResponse(100_000 + now, List.copyOf(running.values()), List.copyOf(ends));
+                    at(CALL_MILLIS, () -> event("held", () -> scheduler.onHoldAnswered(o, sentAt, a)));
                 }
             };
             if (!ends.isEmpty() || o.waitMillis() == 0) {
@@ -207,7 +207,7 @@
 
     private void list() {
         scheduler.onWorkers(workers.values().stream().map(w -> w.facts).toList());
-        scheduler.onWorkersKnown(now);
+        scheduler.onWorkersConfirmed(now);
     }
 
     private void tellLoad() {
@@ -299,12 +299,12 @@
     }
 
     @Override
-    public void advise(AdviceOrder order) {
+    public void advise(AdviceRequest order) {
         told("advise", order);
     }
 
     @Override
-    public void save(List<Saving> batch) {
+    public void save(List<ProgressWrite> batch) {
         timed("(codec)", () -> batch.forEach(s -> RecordCodec.write(s.progress())));
         told("save", batch);
         at(WRITE_MILLIS, () -> event("saved", () -> scheduler.onSaved(batch)));
--- a/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
@@ -39,8 +39,8 @@
 
     @BeforeEach
     void oneServesAndOneFills() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
         StepSpec serving = StepSpec.builder(1, SchedulerDriver.NEED)
                 .longRunning(true, 0)
                 .image("front", 100, false)
@@ -49,18 +49,16 @@
                 .longRunning(true, 0)
                 .image("batch", 0, true)
                 .build();
-        d.job("a", serving, filling);
-        d.saved();
+        d.submit("a", serving, filling);
+        d.completeSaves();
         d.port.starts.forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
     private void tailIs(long millis) {
-        d.passes(1_000);
-        d.answers(
+        d.advance(1_000);
+        d.answerHold(
                 "w1",
-                List.of(
-                        new RunningReport("a", SERVES, 1, "", 100, millis),
-                        new RunningReport("a", FILLS, 1, "", 100, 500)),
+                List.of(new RunStatus("a", SERVES, 1, "", 100, millis), new RunStatus("a", FILLS, 1, "", 100, 500)),
                 List.of());
         d.port.paces.forEach(p -> d.scheduler.onPaced(p, OrderOutcome.ACCEPTED));
     }
@@ -108,15 +106,13 @@
 
         @Test
         void isPacedAgainWhenTheOrderWasNotAnswered() {
-            d.passes(1_000);
-            d.answers(
+            d.advance(1_000);
+            d.answerHold(
                     "w1",
-                    List.of(
-                            new RunningReport("a", SERVES, 1, "", 100, 150),
-                            new RunningReport("a", FILLS, 1, "", 100, 500)),
+                    List.of(new RunStatus("a", SERVES, 1, "", 100, 150), new RunStatus("a", FILLS, 1, "", 100, 500)),
                     List.of());
             d.scheduler.onPaced(d.port.paces.get(0), OrderOutcome.UNKNOWN);
-            d.passes(300);
+            d.advance(300);
             assertEquals(2, d.port.paces.size());
         }
     }
@@ -133,16 +129,16 @@
         private final SchedulerDriver next = new SchedulerDriver();
 
         private void followsWith(StepSpec... steps) {
-            next.workers("w1");
+            next.listWorkers("w1");
             List<TaskRecord> held = new ArrayList<>();
-            List<RunningReport> running = new ArrayList<>();
+            List<RunStatus> running = new ArrayList<>();
             for (int i = 0; i < steps.length; i++) {
                 held.add(new TaskRecord(0, i, 0, 1, 0, false, "w1", ""));
-                running.add(new RunningReport("a", new TaskId(0, i, 0), 1, "", 100, 50));
+                running.add(new RunStatus("a", new TaskId(0, i, 0), 1, "", 100, 50));
             }
-            next.job("a", new JobProgress(JobState.RUNNING, held, "", 0), steps);
-            next.passes(10);
-            next.answers("w1", running, List.of());
+            next.submit("a", new JobProgress(JobState.RUNNING, held, "", 0), steps);
+            next.advance(10);
+            next.answerHold("w1", running, List.of());
         }
 
         private StepSpec fills() {
--- a/core/src/test/java/org/lupinpaddle/core/run/RecordPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /** What one write takes, and what becomes of records that the store will never take. */
-class RecordPassTest {
+class PersistencePassTest {
 
     private static final long GATHERING_MILLIS = 50;
 
@@ -41,8 +41,8 @@
     }
 
     private void begins() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
     }
 
     @Nested
@@ -53,16 +53,16 @@
         void ofWritesAreBoundedByTheirTasks() {
             begins();
             for (int i = 0; i < 15; i++) {
-                d.job("job" + i, step(1_000));
+                d.submit("job" + i, step(1_000));
             }
             Set<Integer> sizes = Set.of();
             int written = 0;
             for (int round = 0; round < 15; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(GATHERING_MILLIS);
                 sizes = d.port.saves.stream().map(List::size).collect(Collectors.toSet());
                 written += d.port.saves.stream().mapToInt(List::size).sum();
                 assertTrue(Set.of(1).containsAll(sizes), "records in one write: " + sizes);
-                d.saved();
+                d.completeSaves();
             }
             assertTrue(written >= 4, "written: " + written);
         }
@@ -71,9 +71,9 @@
         void ofSmallJobsAreNot() {
             begins();
             for (int i = 0; i < 15; i++) {
-                d.job("job" + i, step(10));
+                d.submit("job" + i, step(10));
             }
-            d.passes(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
             assertTrue(d.port.saves.stream().anyMatch(s -> s.size() > 10));
         }
     }
@@ -91,16 +91,16 @@
         @Test
         void isWrittenWithoutWhatASuccessorCanFindOut() {
             begins();
-            d.job("a", step(300));
-            d.passes(GATHERING_MILLIS);
-            d.saved();
+            d.submit("a", step(300));
+            d.advance(GATHERING_MILLIS);
+            d.completeSaves();
             d.scheduler.onCancel(new JobKey("q", "a"));
-            d.passes(GATHERING_MILLIS);
-            List<SchedulerPort.Saving> refused = d.port.saves.remove(0);
+            d.advance(GATHERING_MILLIS);
+            List<SchedulerPort.ProgressWrite> refused = d.port.saves.remove(0);
             assertTrue(refused.get(0).progress().tasks().size() > 100);
             d.scheduler.onSaveRejected(refused);
-            d.passes(RETRY_MILLIS);
-            SchedulerPort.Saving again = d.port.saves.remove(0).get(0);
+            d.advance(RETRY_MILLIS);
+            SchedulerPort.ProgressWrite again = d.port.saves.remove(0).get(0);
             assertEquals(JobState.CANCELLED, again.progress().state());
             assertTrue(again.progress().tasks().isEmpty(), "workers tell a successor what runs, and it stops that");
         }
@@ -117,10 +117,10 @@
         private int writtenWithin(long millis) {
             int written = 0;
             for (long t = 0; t < millis; t += STEP_MILLIS) {
-                d.passes(STEP_MILLIS);
+                d.advance(STEP_MILLIS);
                 if (t % ANSWER_MILLIS == 0) {
                     written += d.port.saves.stream().mapToInt(List::size).sum();
-                    d.saved();
+                    d.completeSaves();
                 }
             }
             return written;
@@ -130,7 +130,7 @@
         void doesNotBoundWhatIsWrittenBelowWhatALargeServiceChanges() {
             begins();
             for (int i = 0; i < JOBS; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
             assertTrue(writtenWithin(750) >= JOBS, "700 a second are 400 within 600 ms");
         }
@@ -139,11 +139,11 @@
         void isNotAskedFasterThanASoundOne() {
             begins();
             for (int i = 0; i < JOBS; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
             d.port.saves.clear();
             int before = d.port.saves.size();
-            d.passes(STEP_MILLIS);
+            d.advance(STEP_MILLIS);
             assertTrue(d.port.saves.size() - before <= 10, "400 writes a second are 10 in 25 ms");
         }
     }
@@ -153,9 +153,9 @@
 
         /** Refuses each write that holds the job, as a store does for which its record is too large. */
         private void answerAllBut(String job) {
-            List<List<SchedulerPort.Saving>> all = List.copyOf(d.port.saves);
+            List<List<SchedulerPort.ProgressWrite>> all = List.copyOf(d.port.saves);
             d.port.saves.clear();
-            for (List<SchedulerPort.Saving> batch : all) {
+            for (List<SchedulerPort.ProgressWrite> batch : all) {
                 if (batch.stream()
                         .anyMatch(s -> s.job().id().equals(job) && !s.progress().over())) {
                     d.scheduler.onSaveRejected(batch);
@@ -173,13 +173,13 @@
         void recordsKeepNoOtherJobBack() {
             begins();
             for (int i = 0; i < 5; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
             for (int round = 0; round < 10; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(GATHERING_MILLIS);
                 answerAllBut("job2");
             }
-            d.passes(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
             for (int i = 0; i < 5; i++) {
                 assertEquals(i != 2, starts("job" + i), "job" + i);
             }
@@ -188,10 +188,10 @@
         @Test
         void recordsEndTheirJobSinceNothingOfItCanBeKept() {
             begins();
-            d.job("large", step(2));
-            List<SchedulerPort.Saving> written = new ArrayList<>();
+            d.submit("large", step(2));
+            List<SchedulerPort.ProgressWrite> written = new ArrayList<>();
             for (int round = 0; round < 5; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(GATHERING_MILLIS);
                 d.port.saves.forEach(written::addAll);
                 answerAllBut("large");
             }
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
@@ -42,18 +42,18 @@
     }
 
     private void oneWorkerIsBusy() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
-        d.job("busy", wide(1_000));
-        d.saved();
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
+        d.submit("busy", wide(1_000));
+        d.completeSaves();
     }
 
     private void theWorkerIsFree() {
-        RunningReport none = new RunningReport("busy", FIRST, 1, "", 50, -1);
-        d.answers("w1", List.of(none), List.of());
-        d.passes(10);
-        d.answers("w1", List.of(), List.of(new EndReport(1, "busy", FIRST, 1, EndKind.DONE, "")));
-        d.saved();
+        RunStatus none = new RunStatus("busy", FIRST, 1, "", 50, -1);
+        d.answerHold("w1", List.of(none), List.of());
+        d.advance(10);
+        d.answerHold("w1", List.of(), List.of(new RunResult(1, "busy", FIRST, 1, EndKind.DONE, "")));
+        d.completeSaves();
     }
 
     @Nested
@@ -62,23 +62,23 @@
         @Test
         void theJobWithTheLeastTimeLeftGoesFirst() {
             oneWorkerIsBusy();
-            d.job("patient", wide(9_000));
-            d.passes(100);
-            d.job("pressed", wide(1_000));
+            d.submit("patient", wide(9_000));
+            d.advance(100);
+            d.submit("pressed", wide(1_000));
             theWorkerIsFree();
             assertEquals("pressed", d.lastStart().jobId());
         }
 
         @Test
         void aJobThatHasBegunGoesBeforeOneThatIsMorePressed() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             StepSpec two = StepSpec.builder(2, new StepSpec.Need(4_000, 100, 0))
                     .estimateMillis(9_000)
                     .build();
-            d.job("busy", two);
-            d.saved();
-            d.job("pressed", wide(1_000));
+            d.submit("busy", two);
+            d.completeSaves();
+            d.submit("pressed", wide(1_000));
             theWorkerIsFree();
             assertEquals("busy", d.lastStart().jobId());
         }
@@ -86,9 +86,9 @@
         @Test
         void aJobThatWouldHardlyEndInTimeIsBegunAfterOneThatSurelyDoes() {
             oneWorkerIsBusy();
-            d.job("hardly", wide(4_000));
-            d.passes(2_200);
-            d.job("surely", wide(9_000));
+            d.submit("hardly", wide(4_000));
+            d.advance(2_200);
+            d.submit("surely", wide(9_000));
             theWorkerIsFree();
             assertEquals("surely", d.lastStart().jobId());
         }
@@ -96,9 +96,9 @@
         @Test
         void aJobThatIsLateAnywayGoesAfterOneThatIsNot() {
             oneWorkerIsBusy();
-            d.job("late", wide(1_000));
-            d.passes(2_500);
-            d.job("fresh", wide(9_000));
+            d.submit("late", wide(1_000));
+            d.advance(2_500);
+            d.submit("fresh", wide(9_000));
             theWorkerIsFree();
             assertEquals("fresh", d.lastStart().jobId());
         }
@@ -118,44 +118,44 @@
         }
 
         private List<String> started() {
-            d.saved();
-            d.passes(100);
-            d.saved();
+            d.completeSaves();
+            d.advance(100);
+            d.completeSaves();
             return d.port.starts.stream().map(StartOrder::jobId).toList();
         }
 
         @Test
         void aStepThatNoOneWorkerHasRoomForKeepsNoOtherOneWaiting() {
-            d.listed(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
-            d.job("both", asking(4_000, 8_000));
-            d.job("cpu", asking(4_000, 100));
-            d.job("memory", asking(500, 8_000));
-            d.job("more", asking(500, 100));
+            d.listAndAnswer(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
+            d.submit("both", asking(4_000, 8_000));
+            d.submit("cpu", asking(4_000, 100));
+            d.submit("memory", asking(500, 8_000));
+            d.submit("more", asking(500, 100));
             assertEquals(List.of("cpu", "memory"), started().stream().sorted().toList());
         }
 
         @Test
         void aSmallStepIsPlacedWhereLargerAndMoreUrgentOnesFitNoMore() {
-            d.listed(worker("w1", 4_000, 8_000));
-            d.job("a", asking(3_000, 100));
-            d.job("b", asking(3_000, 100));
-            d.job("c", asking(1_000, 100));
+            d.listAndAnswer(worker("w1", 4_000, 8_000));
+            d.submit("a", asking(3_000, 100));
+            d.submit("b", asking(3_000, 100));
+            d.submit("c", asking(1_000, 100));
             assertEquals(List.of("a", "c"), started());
         }
 
         @Test
         void aStepThatAsksForNothingIsPlacedOnAFullWorker() {
-            d.listed(worker("w1", 4_000, 8_000));
-            d.job("a", asking(4_000, 8_000));
-            d.job("b", asking(0, 0));
+            d.listAndAnswer(worker("w1", 4_000, 8_000));
+            d.submit("a", asking(4_000, 8_000));
+            d.submit("b", asking(0, 0));
             assertEquals(List.of("a", "b"), started());
         }
 
         @Test
         void roomThatAnEndGivesBackIsSeen() {
             oneWorkerIsBusy();
-            d.passes(100);
-            d.job("next", wide(1_000));
+            d.advance(100);
+            d.submit("next", wide(1_000));
             assertEquals(1, d.port.starts.size());
             theWorkerIsFree();
             assertEquals("next", d.lastStart().jobId());
@@ -167,12 +167,12 @@
 
         @Test
         void nothingIsPlaced() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             d.now += 2_600;
-            d.jobWithoutNews("a", wide(1_000));
+            d.submitWithStaleList("a", wide(1_000));
             assertTrue(d.port.saves.isEmpty(), "a worker may drain by now");
-            d.passes(0);
+            d.advance(0);
             assertEquals(1, d.port.saves.size());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/TimedJobTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/RepeatedJobTest.java
@@ -27,7 +27,7 @@
 import org.lupinpaddle.core.job.TaskId;
 
 /** Jobs whose steps are run at several times. */
-class TimedJobTest {
+class RepeatedJobTest {
 
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
@@ -37,8 +37,8 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     private void handedIn() {
-        d.listed(SchedulerDriver.onRack("w1", "r1"));
-        d.timedJob("a", new Repeat(2, 1_000, 2_000), ONE, AFTER);
+        d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"));
+        d.submitRepeated("a", new Repeat(2, 1_000, 2_000), ONE, AFTER);
     }
 
     private List<TaskId> started() {
@@ -47,10 +47,10 @@
 
     private void later(long millis) {
         for (long t = 0; t < millis; t += 1_000) {
-            d.passes(Math.min(1_000, millis - t));
-            d.answers("w1", List.of(), List.of());
+            d.advance(Math.min(1_000, millis - t));
+            d.answerHold("w1", List.of(), List.of());
         }
-        d.saved();
+        d.completeSaves();
     }
 
     @Nested
@@ -70,11 +70,11 @@
             handedIn();
             later(1_000);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(1_000);
-            d.answers("w1", List.of(new RunningReport("a", new TaskId(0, 0, 0), 1, "", 50, -1)), List.of());
-            d.passes(1_000);
-            d.answers("w1", List.of(new RunningReport("a", new TaskId(0, 0, 0), 1, "", 60, -1)), List.of());
-            d.saved();
+            d.advance(1_000);
+            d.answerHold("w1", List.of(new RunStatus("a", new TaskId(0, 0, 0), 1, "", 50, -1)), List.of());
+            d.advance(1_000);
+            d.answerHold("w1", List.of(new RunStatus("a", new TaskId(0, 0, 0), 1, "", 60, -1)), List.of());
+            d.completeSaves();
             assertEquals(List.of(new TaskId(0, 0, 0), new TaskId(1, 0, 0)), started());
         }
 
@@ -83,12 +83,12 @@
             handedIn();
             later(1_000);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            EndReport done = new EndReport(1, "a", new TaskId(0, 0, 0), 1, EndKind.DONE, "");
-            d.answers("w1", List.of(), List.of(done));
-            d.saved();
-            d.passes(50);
-            d.saved();
+            d.advance(100);
+            RunResult done = new RunResult(1, "a", new TaskId(0, 0, 0), 1, EndKind.DONE, "");
+            d.answerHold("w1", List.of(), List.of(done));
+            d.completeSaves();
+            d.advance(50);
+            d.completeSaves();
             assertEquals(List.of(new TaskId(0, 0, 0), new TaskId(0, 1, 0)), started());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/RunTimesTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/RunTimeEstimatorTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-class RunTimesTest {
+class RunTimeEstimatorTest {
 
-    private final RunTimes times = new RunTimes();
+    private final RunTimeEstimator times = new RunTimeEstimator();
 
     private void learned(int runs, long millis) {
         for (int i = 0; i < runs; i++) {
-            times.learn("q", millis);
+            times.recordRunTime("q", millis);
         }
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
@@ -37,7 +37,7 @@
     static final StepSpec.Need NEED = new StepSpec.Need(1_000, 100, 0);
     private static final Room ROOM = new Room(4_000, 8_000, 0);
 
-    final FakePort port = new FakePort();
+    final FakeSchedulerPort port = new FakeSchedulerPort();
     final ServiceScheduler scheduler;
     long now;
     /** Whether the queue of the jobs to come asks for advice. */
@@ -54,26 +54,26 @@
     }
 
     /** Returns what the entry of a worker that states its birth says. */
-    static WorkerFacts born(String id, long bornMillis) {
+    static WorkerFacts workerBornAt(String id, long bornMillis) {
         return new WorkerFacts(id, bornMillis, "clips", "at-" + id, "north", false, 0, ROOM, List.of("rack-" + id));
     }
 
-    void workers(String... ids) {
+    void listWorkers(String... ids) {
         scheduler.onWorkers(Arrays.stream(ids).map(SchedulerDriver::worker).toList());
         tick();
     }
 
-    void job(String id, StepSpec... steps) {
-        job(id, null, steps);
+    void submit(String id, StepSpec... steps) {
+        submit(id, null, steps);
     }
 
-    void job(String id, @Nullable JobProgress progress, StepSpec... steps) {
-        take(id, progress, steps);
+    void submit(String id, @Nullable JobProgress progress, StepSpec... steps) {
+        submitJob(id, progress, steps);
         tick();
     }
 
     /** Hands in a job whose steps are run at several times. */
-    void timedJob(String id, Repeat repeat, StepSpec... steps) {
+    void submitRepeated(String id, Repeat repeat, StepSpec... steps) {
         JobKey key = new JobKey("q", id);
         Policy policy = new Policy(0, 3, 1.5, 500, advised);
         scheduler.onJob(new JobSpec(key, "clips", "text", List.of(steps), repeat, policy, now), null);
@@ -81,42 +81,42 @@
     }
 
     /** Returns a worker on a rack. */
-    static WorkerFacts onRack(String id, String rack) {
+    static WorkerFacts workerOnRack(String id, String rack) {
         return new WorkerFacts(id, "clips", "at-" + id, "north", false, 0, ROOM, List.of(rack));
     }
 
     /** Lists these workers and lets each answer. */
-    void listed(WorkerFacts... all) {
+    void listAndAnswer(WorkerFacts... all) {
         scheduler.onWorkers(List.of(all));
         tick();
         for (WorkerFacts w : all) {
-            answers(w.id(), List.of(), List.of());
+            answerHold(w.id(), List.of(), List.of());
         }
     }
 
     /** Hands in a job while the list of workers is not confirmed. */
-    void jobWithoutNews(String id, StepSpec... steps) {
-        take(id, null, steps);
+    void submitWithStaleList(String id, StepSpec... steps) {
+        submitJob(id, null, steps);
         scheduler.tick();
     }
 
-    private void take(String id, @Nullable JobProgress progress, StepSpec... steps) {
+    private void submitJob(String id, @Nullable JobProgress progress, StepSpec... steps) {
         JobKey key = new JobKey("q", id);
         Policy policy = new Policy(0, 3, 1.5, 500, advised);
         scheduler.onJob(new JobSpec(key, "clips", "text", List.of(steps), Repeat.ONCE, policy, now), progress);
     }
 
     /** Lets the worker answer its newest hold. */
-    void answers(String worker, List<RunningReport> running, List<EndReport> ended) {
-        scheduler.onHeld(lastHold(worker), now, new HoldAnswer(100_000 + now, running, ended));
+    void answerHold(String worker, List<RunStatus> running, List<RunResult> ended) {
+        scheduler.onHoldAnswered(lastHold(worker), now, new HoldResponse(100_000 + now, running, ended));
         tick();
     }
 
     /** Lets the life of a worker that was born then answer its newest hold, by its own clock. */
-    void answersAs(
-            String worker, long bornMillis, long clockMillis, List<RunningReport> running, List<EndReport> ended) {
+    void answerHoldAs(
+            String worker, long bornMillis, long clockMillis, List<RunStatus> running, List<RunResult> ended) {
         HoldOrder last = lastHold(worker);
-        scheduler.onHeld(last, now, new HoldAnswer(bornMillis, clockMillis, running, ended));
+        scheduler.onHoldAnswered(last, now, new HoldResponse(bornMillis, clockMillis, running, ended));
         tick();
     }
 
@@ -129,16 +129,16 @@
     }
 
     /** Lets the worker keep silent to its newest hold. */
-    void silent(String worker) {
-        holdFails(worker, OrderOutcome.UNKNOWN);
+    void leaveHoldUnanswered(String worker) {
+        failHold(worker, OrderOutcome.UNKNOWN);
     }
 
     /** Lets another life answer the worker's newest hold: it has crashed or was ended, and is back. */
-    void otherLife(String worker) {
-        holdFails(worker, OrderOutcome.OTHER_LIFE);
+    void answerAsOtherIncarnation(String worker) {
+        failHold(worker, OrderOutcome.OTHER_LIFE);
     }
 
-    private void holdFails(String worker, OrderOutcome how) {
+    private void failHold(String worker, OrderOutcome how) {
         port.holds.stream()
                 .filter(h -> h.worker().id().equals(worker))
                 .reduce((a, b) -> b)
@@ -147,20 +147,20 @@
     }
 
     /** Makes durable what the scheduler has asked to be written. */
-    void saved() {
-        List<List<SchedulerPort.Saving>> all = new ArrayList<>(port.saves);
+    void completeSaves() {
+        List<List<SchedulerPort.ProgressWrite>> all = new ArrayList<>(port.saves);
         port.saves.clear();
         all.forEach(scheduler::onSaved);
         tick();
     }
 
-    void passes(long millis) {
+    void advance(long millis) {
         now += millis;
         tick();
     }
 
     private void tick() {
-        scheduler.onWorkersKnown(now);
+        scheduler.onWorkersConfirmed(now);
         scheduler.tick();
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
@@ -46,21 +46,21 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private static RunningReport runs(int run) {
-        return new RunningReport("a", FIRST, run, "", 50, -1);
+    private static RunStatus runs(int run) {
+        return new RunStatus("a", FIRST, run, "", 50, -1);
     }
 
-    private static EndReport ends(long number, int run, EndKind kind) {
-        return new EndReport(number, "a", FIRST, run, kind, "");
+    private static RunResult ends(long number, int run, EndKind kind) {
+        return new RunResult(number, "a", FIRST, run, kind, "");
     }
 
     private void startOnOneOf(String... workers) {
-        d.workers(workers);
+        d.listWorkers(workers);
         for (String w : workers) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
-        d.job("a", ONE);
-        d.saved();
+        d.submit("a", ONE);
+        d.completeSaves();
     }
 
     @Nested
@@ -73,20 +73,20 @@
                 StepSpec.builder(TASKS, new StepSpec.Need(1, 1, 0)).build();
 
         private void begun(String worker) {
-            d.workers(worker);
-            d.answers(worker, List.of(), List.of());
+            d.listWorkers(worker);
+            d.answerHold(worker, List.of(), List.of());
             for (int i = 0; i < OLDER; i++) {
-                d.job("old" + i, many);
+                d.submit("old" + i, many);
             }
         }
 
         /** Ends one task of each older job. */
         private void allChange(int round) {
-            List<EndReport> ends = IntStream.range(0, OLDER)
-                    .mapToObj(i -> new EndReport(
+            List<RunResult> ends = IntStream.range(0, OLDER)
+                    .mapToObj(i -> new RunResult(
                             (long) round * OLDER + i + 1, "old" + i, new TaskId(0, 0, round), 1, EndKind.DONE, ""))
                     .toList();
-            d.answers("w1", List.of(), ends);
+            d.answerHold("w1", List.of(), ends);
         }
 
         private boolean writes(String job) {
@@ -99,17 +99,17 @@
         void ofANewJobIsNotPutOffByOlderOnesThatChangeAllTheTime() {
             begun("w1");
             for (int i = 0; i < 10; i++) {
-                d.passes(GATHERING_MILLIS);
-                d.saved();
+                d.advance(GATHERING_MILLIS);
+                d.completeSaves();
             }
             allChange(0);
-            d.job("new", many);
+            d.submit("new", many);
             boolean written = false;
             for (int round = 1; round < 10 && !written; round++) {
                 allChange(round);
-                d.passes(GATHERING_MILLIS);
+                d.advance(GATHERING_MILLIS);
                 written = writes("new");
-                d.saved();
+                d.completeSaves();
             }
             assertTrue(written);
         }
@@ -117,17 +117,17 @@
         @Test
         void goesOnWhileOneWriteIsUnderWay() {
             begun("w1");
-            d.passes(GATHERING_MILLIS);
-            d.passes(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
             assertTrue(IntStream.range(0, OLDER).allMatch(i -> writes("old" + i)));
         }
 
         @Test
         void ofOneJobGoesOutOnceAtATime() {
             begun("w1");
-            d.passes(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
             allChange(0);
-            d.passes(GATHERING_MILLIS);
+            d.advance(GATHERING_MILLIS);
             long first = d.port.saves.stream()
                     .flatMap(List::stream)
                     .filter(s -> s.job().id().equals("old0"))
@@ -141,22 +141,22 @@
 
         @Test
         void waitsUntilTheChoiceOfWorkerIsDurable() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", ONE);
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", ONE);
             assertTrue(d.port.starts.isEmpty());
-            d.saved();
+            d.completeSaves();
             assertEquals(1, d.lastStart().run());
         }
 
         @Test
         void waitsUntilTheWorkerHasSeenThisOwnersFence() {
-            d.workers("w1");
-            d.job("a", ONE);
-            d.saved();
+            d.listWorkers("w1");
+            d.submit("a", ONE);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
-            d.answers("w1", List.of(), List.of());
-            d.saved();
+            d.answerHold("w1", List.of(), List.of());
+            d.completeSaves();
             assertEquals("w1", d.lastStart().worker().id());
         }
 
@@ -164,28 +164,28 @@
         @Test
         void isNotTakenBackByAHoldSentInTheMillisecondOfItsAnswer() {
             startOnOneOf("w1");
-            d.passes(10);
+            d.advance(10);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.answers("w1", List.of(), List.of());
+            d.answerHold("w1", List.of(), List.of());
             assertTrue(d.port.stops.isEmpty(), "the hold may have been answered before the start");
-            d.passes(1);
-            d.answers("w1", List.of(), List.of());
+            d.advance(1);
+            d.answerHold("w1", List.of(), List.of());
             assertEquals(1, d.port.stops.size());
         }
 
         /** The choice may have waited for the store for seconds, and its worker may have said that it leaves. */
         @Test
         void waitsUntilTheListOfWorkersIsKnownToBeNew() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.answers("w2", List.of(), List.of());
-            d.job("a", ONE);
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.answerHold("w2", List.of(), List.of());
+            d.submit("a", ONE);
             d.now += 5_000;
             List.copyOf(d.port.saves).forEach(d.scheduler::onSaved);
             d.scheduler.tick();
             assertTrue(d.port.starts.isEmpty());
             d.scheduler.onWorkers(List.of(leaving("w1"), leaving("w2")));
-            d.passes(10);
+            d.advance(10);
             assertTrue(d.port.starts.isEmpty(), "both are about to end");
         }
 
@@ -199,7 +199,7 @@
             startOnOneOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
-            d.passes(300);
+            d.advance(300);
             assertEquals(2, d.port.starts.size());
             assertEquals(first.worker(), d.lastStart().worker());
             assertEquals(first.run(), d.lastStart().run());
@@ -210,18 +210,18 @@
             startOnOneOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
-            d.passes(300);
+            d.advance(300);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.NO_ROOM);
             d.scheduler.tick();
             assertEquals(1, d.port.stops.size());
-            d.saved();
+            d.completeSaves();
             assertEquals(2, d.port.starts.size());
             d.scheduler.onStopped(d.port.stops.get(0), OrderOutcome.ACCEPTED);
             d.scheduler.tick();
-            d.passes(10);
-            d.answers(first.worker().id(), List.of(), List.of());
-            d.passes(100);
-            d.saved();
+            d.advance(10);
+            d.answerHold(first.worker().id(), List.of(), List.of());
+            d.advance(100);
+            d.completeSaves();
             assertEquals(3, d.port.starts.size());
             assertEquals(2, d.lastStart().run());
         }
@@ -232,8 +232,8 @@
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.NOT_SENT);
             d.scheduler.tick();
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             assertNotEquals(first.worker(), d.lastStart().worker());
             assertTrue(d.port.stops.isEmpty());
         }
@@ -253,11 +253,11 @@
         void areDurableBeforeTheWorkerForgetsThem() {
             startOnOneOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.answers("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
+            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
             assertTrue(d.port.holds.stream().allMatch(h -> h.acknowledgedUpTo() == 0));
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             HoldOrder last = d.port.holds.get(d.port.holds.size() - 1);
             assertEquals(1, last.acknowledgedUpTo());
         }
@@ -266,8 +266,8 @@
         void ofAllTasksCompleteTheJob() {
             startOnOneOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.answers("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
+            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
             assertEquals(
                     JobState.COMPLETED, d.port.saves.get(0).get(0).progress().state());
         }
@@ -277,10 +277,10 @@
             startOnOneOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.answers(first.worker().id(), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.answerHold(first.worker().id(), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.advance(100);
+            d.completeSaves();
             assertNotEquals(first.worker(), d.lastStart().worker());
         }
 
@@ -288,18 +288,18 @@
         void onTheOnlyWorkerMakeTheTaskWaitForAnotherOne() {
             startOnOneOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.answers("w1", List.of(), List.of(ends(1, 1, EndKind.FAILED)));
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.advance(100);
+            d.completeSaves();
             assertEquals(1, d.port.starts.size());
             assertEquals(2, d.scheduler.report().needed());
         }
 
         @Test
         void asksForOneStepAtATimeWhereStepsWaitForEachOther() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             StepSpec first = StepSpec.builder(8, SchedulerDriver.NEED)
                     .estimateMillis(1_000)
                     .build();
@@ -307,7 +307,7 @@
                     .estimateMillis(1_000)
                     .after(List.of(0))
                     .build();
-            d.job("a", first, second);
+            d.submit("a", first, second);
             d.now += 10_000;
             assertEquals(3, d.scheduler.report().needed(), "eight tasks at a time, four to a worker, not sixteen");
         }
@@ -322,33 +322,33 @@
         private final StepSpec lasting =
                 StepSpec.builder(1, SchedulerDriver.NEED).longRunning(true, 0).build();
 
-        private static RunningReport at(String job) {
-            return new RunningReport(job, FIRST, 1, "", 50, -1);
+        private static RunStatus at(String job) {
+            return new RunStatus(job, FIRST, 1, "", 50, -1);
         }
 
         /** Lets three jobs fail on the only worker, and waits until it may get a task again. */
         private void threeFailed() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             List<String> jobs = List.of("a", "b", "c");
             for (int i = 0; i < jobs.size(); i++) {
-                d.job(jobs.get(i), ONE);
-                d.passes(100);
-                d.saved();
+                d.submit(jobs.get(i), ONE);
+                d.advance(100);
+                d.completeSaves();
                 d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-                d.passes(100);
-                EndReport failed = new EndReport(i + 1L, jobs.get(i), FIRST, 1, EndKind.FAILED, "");
-                d.answers("w1", List.of(), List.of(failed));
+                d.advance(100);
+                RunResult failed = new RunResult(i + 1L, jobs.get(i), FIRST, 1, EndKind.FAILED, "");
+                d.answerHold("w1", List.of(), List.of(failed));
             }
             jobs.forEach(j -> d.scheduler.onCancel(new JobKey("q", j)));
             pass(AVOIDED_MILLIS, List.of());
         }
 
-        private void pass(long millis, List<RunningReport> running) {
+        private void pass(long millis, List<RunStatus> running) {
             for (long t = 0; t < millis; t += STEP_MILLIS) {
-                d.passes(STEP_MILLIS);
-                d.answers("w1", running, List.of());
-                d.saved();
+                d.advance(STEP_MILLIS);
+                d.answerHold("w1", running, List.of());
+                d.completeSaves();
             }
         }
 
@@ -360,10 +360,10 @@
         @Test
         void aLastingTaskThatGoesWellKeepsNoOtherFromTheWorker() {
             threeFailed();
-            d.job("x", lasting);
+            d.submit("x", lasting);
             pass(STEP_MILLIS, List.of());
             begins("x");
-            d.job("y", lasting);
+            d.submit("y", lasting);
             pass(WITHIN_MILLIS, List.of(at("x")));
             begins("y");
         }
@@ -371,10 +371,10 @@
         @Test
         void theWorkerGetsOneTaskAtATime() {
             threeFailed();
-            d.job("x", ONE);
+            d.submit("x", ONE);
             pass(STEP_MILLIS, List.of());
             begins("x");
-            d.job("y", ONE);
+            d.submit("y", ONE);
             pass(WITHIN_MILLIS, List.of(at("x")));
             assertEquals("x", d.lastStart().jobId());
         }
@@ -382,10 +382,10 @@
         @Test
         void aLastingTaskThatHasJustBegunProvesNothing() {
             threeFailed();
-            d.job("x", lasting);
+            d.submit("x", lasting);
             pass(STEP_MILLIS, List.of());
             begins("x");
-            d.job("y", lasting);
+            d.submit("y", lasting);
             pass(STEP_MILLIS, List.of(at("x")));
             assertEquals("x", d.lastStart().jobId());
         }
@@ -404,23 +404,23 @@
         @Test
         void ofManyJobsAreWrittenInTheOrderOfTheirChangesAndAFewAtATime() {
             for (int i = 0; i < 20; i++) {
-                d.job("job-" + i, ONE);
+                d.submit("job-" + i, ONE);
             }
             for (int i = 0; i < 20; i++) {
                 d.scheduler.onCancel(new JobKey("q", "job-" + i));
             }
-            d.passes(0);
+            d.advance(0);
             assertEquals(IntStream.range(0, 10).mapToObj(i -> "job-" + i).toList(), written(), "one call's rows");
-            d.passes(100);
+            d.advance(100);
             assertEquals(IntStream.range(0, 20).mapToObj(i -> "job-" + i).toList(), written(), "each once");
-            d.saved();
-            d.passes(100);
+            d.completeSaves();
+            d.advance(100);
             assertEquals(List.of(), written());
         }
 
         private void endHundreds() {
             for (int i = 0; i < 200; i++) {
-                d.job("job-" + i, ONE);
+                d.submit("job-" + i, ONE);
             }
             for (int i = 0; i < 200; i++) {
                 d.scheduler.onCancel(new JobKey("q", "job-" + i));
@@ -430,14 +430,14 @@
         @Test
         void takeSixteenCallsAtATimeAndNoMore() {
             endHundreds();
-            d.passes(100);
+            d.advance(100);
             assertEquals(10, d.port.saves.size(), "in one go");
-            d.passes(100);
-            d.passes(100);
+            d.advance(100);
+            d.advance(100);
             assertEquals(16, d.port.saves.size());
-            List<SchedulerPort.Saving> first = d.port.saves.remove(0);
+            List<SchedulerPort.ProgressWrite> first = d.port.saves.remove(0);
             d.scheduler.onSaved(first);
-            d.passes(100);
+            d.advance(100);
             assertEquals(16, d.port.saves.size());
             assertEquals("job-160", d.port.saves.get(15).get(0).job().id());
         }
@@ -445,39 +445,39 @@
         @Test
         void takeFourCallsAtATimeAndNoMoreWhileTheyFail() {
             endHundreds();
-            d.passes(100);
+            d.advance(100);
             List.copyOf(d.port.saves).forEach(s -> d.scheduler.onSaveFailed(s, 150));
             d.port.saves.clear();
-            d.passes(200);
-            d.passes(200);
+            d.advance(200);
+            d.advance(200);
             assertEquals(4, d.port.saves.size());
         }
 
         @Test
         void ofChangesDuringAWriteAreWrittenAgain() {
             startOnOneOf("w1");
-            d.passes(100);
-            d.job("b", ONE);
+            d.advance(100);
+            d.submit("b", ONE);
             assertEquals(List.of("b"), written());
             d.scheduler.onCancel(new JobKey("q", "b"));
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             assertEquals(List.of("b"), written());
-            d.saved();
-            d.passes(100);
+            d.completeSaves();
+            d.advance(100);
             assertEquals(List.of(), written());
         }
 
         @Test
         void thatCouldNotBeWrittenAreWrittenLater() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", ONE);
-            List<SchedulerPort.Saving> lost = d.port.saves.remove(0);
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", ONE);
+            List<SchedulerPort.ProgressWrite> lost = d.port.saves.remove(0);
             d.scheduler.onSaveFailed(lost, 150);
-            d.passes(100);
+            d.advance(100);
             assertEquals(List.of(), written());
-            d.passes(50);
+            d.advance(50);
             assertEquals(List.of("a"), written());
         }
     }
@@ -487,16 +487,16 @@
 
         @Test
         void getNoMoreTasksOnceAStartIsUnanswered() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.answers("w2", List.of(), List.of());
-            d.job("a", ONE);
-            d.saved();
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.answerHold("w2", List.of(), List.of());
+            d.submit("a", ONE);
+            d.completeSaves();
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
-            d.job("b", ONE);
-            d.passes(50);
-            d.saved();
+            d.submit("b", ONE);
+            d.advance(50);
+            d.completeSaves();
             assertNotEquals(first.worker().id(), d.lastStart().worker().id(), "it may be out of reach");
         }
 
@@ -504,11 +504,11 @@
         void areGivenNoLaterDeadline() {
             startOnOneOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(10);
-            d.answers("w1", List.of(runs(1)), List.of());
+            d.advance(10);
+            d.answerHold("w1", List.of(runs(1)), List.of());
             for (int i = 0; i < 10; i++) {
-                d.silent("w1");
-                d.passes(1_000);
+                d.leaveHoldUnanswered("w1");
+                d.advance(1_000);
             }
             long atMost = d.port.holds.stream()
                     .filter(h -> h.deadlineMillis() > 0)
@@ -525,15 +525,15 @@
             String other = gone.equals("w1") ? "w2" : "w1";
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             for (int i = 0; i < 20 && d.lastStart().run() == 1; i++) {
-                d.silent(gone);
-                d.answers(other, List.of(), List.of());
-                d.passes(1_000);
-                d.saved();
+                d.leaveHoldUnanswered(gone);
+                d.answerHold(other, List.of(), List.of());
+                d.advance(1_000);
+                d.completeSaves();
             }
             assertEquals(2, d.lastStart().run());
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             return List.of(gone, other);
         }
 
@@ -541,8 +541,8 @@
         void thatEndARunDoneAfterAllLeaveARecordThatSaysSo() {
             String gone = begunTwice().get(0);
             d.port.saves.clear();
-            d.answers(gone, List.of(), List.of(ends(1, 1, EndKind.DONE)));
-            d.passes(100);
+            d.answerHold(gone, List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
             TaskRecord written = d.port.saves.get(0).get(0).progress().tasks().get(0);
             assertTrue(written.done(), "the worker may forget the end once this is written");
             assertEquals(2, written.run());
@@ -551,12 +551,12 @@
         @Test
         void thatTellTheirOlderEndLastChangeNothingOfWhatIsDone() {
             List<String> both = begunTwice();
-            d.answers(both.get(1), List.of(), List.of(ends(1, 2, EndKind.DONE)));
-            d.answers(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
-            d.passes(100);
-            d.saved();
-            d.passes(100);
-            d.saved();
+            d.answerHold(both.get(1), List.of(), List.of(ends(1, 2, EndKind.DONE)));
+            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.advance(100);
+            d.completeSaves();
+            d.advance(100);
+            d.completeSaves();
             assertEquals(2, d.lastStart().run());
             assertEquals(0, d.scheduler.load().waiting());
         }
@@ -565,22 +565,22 @@
         void thatEndedARunDoneKeepTheNextOwnerFromRunningTheTaskAgain() {
             List<String> both = begunTwice();
             d.port.saves.clear();
-            d.answers(both.get(0), List.of(), List.of(ends(1, 1, EndKind.DONE)));
-            d.passes(100);
+            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
             JobProgress left = d.port.saves.get(0).get(0).progress();
             SchedulerDriver next = new SchedulerDriver();
-            next.workers("w1", "w2");
-            next.job("a", left, ONE);
-            next.answers(both.get(0), List.of(), List.of());
-            next.answers(both.get(1), List.of(runs(2)), List.of());
+            next.listWorkers("w1", "w2");
+            next.submit("a", left, ONE);
+            next.answerHold(both.get(0), List.of(), List.of());
+            next.answerHold(both.get(1), List.of(runs(2)), List.of());
             StopOrder stop = next.port.stops.get(0);
             assertEquals(2, stop.run());
             next.scheduler.onStopped(stop, OrderOutcome.ACCEPTED);
-            next.passes(100);
-            next.answers(both.get(1), List.of(), List.of());
-            next.passes(100);
-            next.saved();
-            next.passes(100);
+            next.advance(100);
+            next.answerHold(both.get(1), List.of(), List.of());
+            next.advance(100);
+            next.completeSaves();
+            next.advance(100);
             assertTrue(next.port.starts.isEmpty());
         }
 
@@ -589,9 +589,9 @@
         void thatEndedARunFailedAreNoAttemptOnceTheirLeaseHasLapsed() {
             List<String> both = begunTwice();
             d.port.saves.clear();
-            d.answers(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
-            d.answers(both.get(1), List.of(), List.of(ends(1, 2, EndKind.FAILED)));
-            d.passes(100);
+            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.answerHold(both.get(1), List.of(), List.of(ends(1, 2, EndKind.FAILED)));
+            d.advance(100);
             TaskRecord written = d.port.saves.get(0).get(0).progress().tasks().get(0);
             assertEquals(1, written.failures());
             assertFalse(written.done());
@@ -603,14 +603,14 @@
             String gone = d.lastStart().worker().id();
             String other = gone.equals("w1") ? "w2" : "w1";
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(10);
-            d.answers(gone, List.of(runs(1)), List.of());
+            d.advance(10);
+            d.answerHold(gone, List.of(runs(1)), List.of());
             boolean early = false;
             for (int i = 0; i < 12; i++) {
-                d.silent(gone);
-                d.passes(1_000);
-                d.answers(other, List.of(), List.of());
-                d.saved();
+                d.leaveHoldUnanswered(gone);
+                d.advance(1_000);
+                d.answerHold(other, List.of(), List.of());
+                d.completeSaves();
                 early |= d.port.starts.size() > 1 && d.now < SchedulerDriver.HOLD_MILLIS;
             }
             assertFalse(early, "started elsewhere while the worker could still run it");
@@ -621,20 +621,20 @@
         private void endsOneOfTwoAndIsSilent() {
             startOnOneOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.job("b", ONE);
-            d.passes(100);
-            d.saved();
+            d.submit("b", ONE);
+            d.advance(100);
+            d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(10);
-            d.answers("w1", List.of(runsB()), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(10);
+            d.answerHold("w1", List.of(runsB()), List.of(ends(1, 1, EndKind.DONE)));
             for (int i = 0; i < 12; i++) {
-                d.silent("w1");
-                d.passes(1_000);
+                d.leaveHoldUnanswered("w1");
+                d.advance(1_000);
             }
         }
 
-        private static RunningReport runsB() {
-            return new RunningReport("b", FIRST, 1, "", 50, -1);
+        private static RunStatus runsB() {
+            return new RunStatus("b", FIRST, 1, "", 50, -1);
         }
 
         private long mayForget() {
@@ -644,25 +644,25 @@
         @Test
         void thatAnswerAgainDoNotForgetEndsThatAreNotDurable() {
             endsOneOfTwoAndIsSilent();
-            d.answers("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
-            d.passes(100);
+            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
             assertEquals(0, mayForget());
-            d.saved();
-            d.passes(100);
+            d.completeSaves();
+            d.advance(100);
             assertEquals(1, mayForget());
         }
 
         @Test
         void thatAreListedAgainDoNotForgetEndsThatAreNotDurable() {
             endsOneOfTwoAndIsSilent();
-            d.workers();
-            d.passes(60_000);
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
-            d.passes(100);
+            d.listWorkers();
+            d.advance(60_000);
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.advance(100);
             assertEquals(0, mayForget());
-            d.saved();
-            d.passes(100);
+            d.completeSaves();
+            d.advance(100);
             assertEquals(1, mayForget());
         }
 
@@ -677,8 +677,8 @@
                     .orElseThrow();
             d.scheduler.onHoldFailed(hold, OrderOutcome.OTHER_LIFE);
             d.scheduler.tick();
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             assertNotEquals(first.worker(), d.lastStart().worker());
         }
     }
@@ -691,12 +691,12 @@
 
         @Test
         void takesUpWhatRuns() {
-            d.workers("w1", "w2");
-            d.job("a", left, ONE);
-            d.answers("w1", List.of(runs(4)), List.of());
-            d.answers("w2", List.of(), List.of());
-            d.passes(100);
-            d.saved();
+            d.listWorkers("w1", "w2");
+            d.submit("a", left, ONE);
+            d.answerHold("w1", List.of(runs(4)), List.of());
+            d.answerHold("w2", List.of(), List.of());
+            d.advance(100);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
             assertTrue(d.port.stops.isEmpty());
         }
@@ -704,72 +704,72 @@
         /** The earlier owner may have heard of the end, and have been closed or killed before it wrote that. */
         @Test
         void takesInEndsThatItsPredecessorDidNotWrite() {
-            d.workers("w1", "w2");
-            d.job("a", left, ONE);
-            d.answers("w2", List.of(), List.of());
-            d.answers("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
-            d.passes(100);
+            d.listWorkers("w1", "w2");
+            d.submit("a", left, ONE);
+            d.answerHold("w2", List.of(), List.of());
+            d.answerHold("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
+            d.advance(100);
             JobProgress written = d.port.saves.get(0).get(0).progress();
             assertEquals(JobState.COMPLETED, written.state());
-            d.saved();
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
         }
 
         @Test
         void isNotToldThatAWorkerIsEmptyBeforeItHasLearntWhatBecameOfItsRuns() {
-            d.workers("w1", "w2");
-            d.job("a", left, ONE);
+            d.listWorkers("w1", "w2");
+            d.submit("a", left, ONE);
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
-            d.passes(100);
+            d.advance(100);
             assertTrue(d.port.emptied.isEmpty());
-            d.answers("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
-            d.passes(100);
+            d.answerHold("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
+            d.advance(100);
             assertTrue(d.port.emptied.isEmpty(), "its end is not durable");
-            d.saved();
+            d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
         }
 
         @Test
         void startsAnewWhatNeverBegan() {
-            d.workers("w1", "w2");
-            d.job("a", left, ONE);
-            d.answers("w1", List.of(), List.of());
-            d.answers("w2", List.of(), List.of());
-            d.passes(100);
-            d.saved();
+            d.listWorkers("w1", "w2");
+            d.submit("a", left, ONE);
+            d.answerHold("w1", List.of(), List.of());
+            d.answerHold("w2", List.of(), List.of());
+            d.advance(100);
+            d.completeSaves();
             assertEquals(5, d.lastStart().run());
         }
 
         @Test
         void waitsForAWorkerItCanNotReach() {
-            d.workers("w2");
-            d.job("a", left, ONE);
-            d.answers("w2", List.of(), List.of());
-            d.passes(SchedulerDriver.INHERITED_MILLIS / 2);
-            d.answers("w2", List.of(), List.of());
-            d.saved();
+            d.listWorkers("w2");
+            d.submit("a", left, ONE);
+            d.answerHold("w2", List.of(), List.of());
+            d.advance(SchedulerDriver.INHERITED_MILLIS / 2);
+            d.answerHold("w2", List.of(), List.of());
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
         }
 
         @Test
         void doesNotWaitForOneThatThePlatformListsNowhere() {
-            d.workers("w2");
-            d.job("a", left, ONE);
-            d.passes(3_000);
-            d.answers("w2", List.of(), List.of());
-            assertTrue(d.scheduler.missesWorkers());
-            d.scheduler.onLiving(Set.of("w2"), d.now);
+            d.listWorkers("w2");
+            d.submit("a", left, ONE);
+            d.advance(3_000);
+            d.answerHold("w2", List.of(), List.of());
+            assertTrue(d.scheduler.hasSilentWorkersWithTasks());
+            d.scheduler.onRunningWorkers(Set.of("w2"), d.now);
             d.scheduler.tick();
-            d.passes(100);
-            d.saved();
+            d.advance(100);
+            d.completeSaves();
             assertEquals("w2", d.lastStart().worker().id());
             assertEquals(5, d.lastStart().run());
         }
 
         @Test
         void stopsWhatItDoesNotKnow() {
-            d.workers("w1");
-            d.answers("w1", List.of(runs(9)), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(runs(9)), List.of());
             assertEquals(9, d.port.stops.get(0).run());
         }
     }
@@ -787,9 +787,9 @@
         private void runsOnTheFirstOf(String... workers) {
             startOnOneOf(workers);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.passes(100);
-            d.answers(d.lastStart().worker().id(), List.of(runs(1)), List.of());
-            d.saved();
+            d.advance(100);
+            d.answerHold(d.lastStart().worker().id(), List.of(runs(1)), List.of());
+            d.completeSaves();
         }
 
         @Test
@@ -797,13 +797,13 @@
             runsOnTheFirstOf("w1", "w2");
             String w = d.lastStart().worker().id();
             d.scheduler.onEvacuations(Set.of(w), Set.of());
-            d.passes(3_000);
-            d.answers(w, List.of(runs(1)), List.of());
+            d.advance(3_000);
+            d.answerHold(w, List.of(runs(1)), List.of());
             d.scheduler.onEvacuations(Set.of(), Set.of());
-            assertFalse(d.scheduler.missesWorkers(), "it answered just now");
-            d.scheduler.onLiving(Set.of(), d.now);
-            d.passes(100);
-            d.saved();
+            assertFalse(d.scheduler.hasSilentWorkersWithTasks(), "it answered just now");
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
+            d.advance(100);
+            d.completeSaves();
             assertEquals(1, d.port.starts.size());
         }
 
@@ -813,7 +813,7 @@
             String w = d.lastStart().worker().id();
             d.scheduler.onWorkers(List.of(nowhere("w1"), nowhere("w2")));
             int asked = d.port.holds.size();
-            d.answers(w, List.of(runs(1)), List.of());
+            d.answerHold(w, List.of(runs(1)), List.of());
             assertEquals(asked + 1, d.port.holds.size(), "it can be asked where it was");
         }
 
@@ -824,34 +824,34 @@
 
         @Test
         void isNotAFullListOfEndsThatDoesNotHoldIt() {
-            d.workers("w1", "w2");
-            d.job("a", left, ONE);
-            List<EndReport> others = IntStream.rangeClosed(1, MOST_ENDS)
-                    .mapToObj(i -> new EndReport(i, "other-" + i, FIRST, 1, EndKind.DONE, ""))
+            d.listWorkers("w1", "w2");
+            d.submit("a", left, ONE);
+            List<RunResult> others = IntStream.rangeClosed(1, MOST_ENDS)
+                    .mapToObj(i -> new RunResult(i, "other-" + i, FIRST, 1, EndKind.DONE, ""))
                     .toList();
-            d.answers("w1", List.of(), others);
-            d.answers("w2", List.of(), List.of());
-            d.passes(100);
-            d.saved();
+            d.answerHold("w1", List.of(), others);
+            d.answerHold("w2", List.of(), List.of());
+            d.advance(100);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty(), "its end may be the next that the worker lists");
-            d.answers("w1", List.of(), List.of(ends(MOST_ENDS + 1, 4, EndKind.DONE)));
-            d.passes(100);
-            d.saved();
+            d.answerHold("w1", List.of(), List.of(ends(MOST_ENDS + 1, 4, EndKind.DONE)));
+            d.advance(100);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
         }
 
         @Test
         void isNotAListOfEndsInAnotherOrder() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", ONE);
-            d.job("b", ONE);
-            d.passes(100);
-            d.saved();
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", ONE);
+            d.submit("b", ONE);
+            d.advance(100);
+            d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
-            d.passes(100);
-            EndReport second = new EndReport(2, "b", FIRST, 1, EndKind.DONE, "");
-            d.answers("w1", List.of(), List.of(second, ends(1, 1, EndKind.DONE)));
+            d.advance(100);
+            RunResult second = new RunResult(2, "b", FIRST, 1, EndKind.DONE, "");
+            d.answerHold("w1", List.of(), List.of(second, ends(1, 1, EndKind.DONE)));
             assertEquals(0, d.scheduler.load().running(), "both are done");
             assertTrue(d.port.stops.isEmpty());
         }
@@ -867,20 +867,20 @@
             d.scheduler.onCancel(new JobKey("q", "a"));
             d.scheduler.tick();
             assertEquals(1, d.port.stops.size());
-            d.passes(100);
+            d.advance(100);
             assertEquals(
                     JobState.CANCELLED, d.port.saves.get(0).get(0).progress().state());
         }
 
         @Test
         void beforeTheStartHasGoneOutTakesItBack() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", ONE);
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", ONE);
             d.scheduler.onCancel(new JobKey("q", "a"));
-            d.saved();
-            d.passes(100);
-            d.saved();
+            d.completeSaves();
+            d.advance(100);
+            d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
         }
     }
@@ -892,7 +892,7 @@
         // Each call has one for ownership.
         private static final int MOST_ROWS = 32 - 1;
 
-        private int rows(SchedulerPort.Saving s) {
+        private int rows(SchedulerPort.ProgressWrite s) {
             int condition = 1;
             int record = 1;
             int smallJob = s.progress().over() ? 1 : 0;
@@ -902,7 +902,7 @@
         @Test
         void ofJobsThatAreOverHaveRoomForTheirSmallRecordsInOneCall() {
             for (int i = 0; i < JOBS; i++) {
-                d.job("job-" + i, ONE);
+                d.submit("job-" + i, ONE);
             }
             d.now += 100;
             for (int i = 0; i < JOBS; i++) {
@@ -910,13 +910,13 @@
             }
             int written = 0;
             while (written < JOBS) {
-                d.passes(100);
-                for (List<SchedulerPort.Saving> batch : d.port.saves) {
+                d.advance(100);
+                for (List<SchedulerPort.ProgressWrite> batch : d.port.saves) {
                     int rows = batch.stream().mapToInt(this::rows).sum();
                     assertTrue(rows <= MOST_ROWS, rows + " rows in one call");
                     written += batch.size();
                 }
-                d.saved();
+                d.completeSaves();
             }
             assertEquals(JOBS, written);
         }
@@ -926,17 +926,17 @@
             StepSpec two = StepSpec.builder(2, SchedulerDriver.NEED)
                     .checkpointing(true)
                     .build();
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", two);
-            d.saved();
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", two);
+            d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
-            d.passes(100);
-            d.saved();
-            EndReport done = new EndReport(1, "a", FIRST, 1, EndKind.DONE, "saved-work");
-            RunningReport other = new RunningReport("a", new TaskId(0, 0, 1), 1, "other-work", 50, -1);
-            d.answers("w1", List.of(other), List.of(done));
-            d.passes(100);
+            d.advance(100);
+            d.completeSaves();
+            RunResult done = new RunResult(1, "a", FIRST, 1, EndKind.DONE, "saved-work");
+            RunStatus other = new RunStatus("a", new TaskId(0, 0, 1), 1, "other-work", 50, -1);
+            d.answerHold("w1", List.of(other), List.of(done));
+            d.advance(100);
             List<TaskRecord> tasks = d.port.saves.get(0).get(0).progress().tasks();
             assertEquals(new TaskRecord(0, 0, 0, 1, 0, true, "", ""), tasks.get(0));
             assertEquals("other-work", tasks.get(1).checkpoint(), "this one may have to go on elsewhere");
@@ -949,12 +949,12 @@
 
         @Test
         void areNotAskedAgainBecauseOthersRecordsWereSaved() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.silent("w2");
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.leaveHoldUnanswered("w2");
             long asked = holdsOf("w2");
-            d.job("a", ONE);
-            d.saved();
+            d.submit("a", ONE);
+            d.completeSaves();
             assertEquals(asked, holdsOf("w2"));
         }
 
@@ -981,7 +981,7 @@
         void thatCameFirstDoNotKeepTheNextFromStarting() {
             listWorkers();
             for (int i = 0; i < BUSY; i++) {
-                d.job("busy-" + i, StepSpec.builder(TASKS, WHOLE_WORKER).build());
+                d.submit("busy-" + i, StepSpec.builder(TASKS, WHOLE_WORKER).build());
             }
             for (int i = 0; i < ROUNDS; i++) {
                 writeRound();
@@ -996,7 +996,7 @@
                 running.put(job, starts.iterator());
             }
             running.values().forEach(r -> ended(r.next()));
-            d.job("late", StepSpec.builder(1, WHOLE_WORKER).build());
+            d.submit("late", StepSpec.builder(1, WHOLE_WORKER).build());
             writeRound();
             for (int i = 0; i < ROUNDS; i++) {
                 running.values().forEach(r -> ended(r.next()));
@@ -1009,22 +1009,22 @@
             String[] ids = IntStream.rangeClosed(0, BUSY * TASKS)
                     .mapToObj(i -> "w" + i)
                     .toArray(String[]::new);
-            d.workers(ids);
+            d.listWorkers(ids);
             for (String id : ids) {
-                d.answers(id, List.of(), List.of());
+                d.answerHold(id, List.of(), List.of());
             }
         }
 
         private void ended(StartOrder s) {
-            d.answers(
+            d.answerHold(
                     s.worker().id(),
                     List.of(),
-                    List.of(new EndReport(1, s.jobId(), s.task(), s.run(), EndKind.DONE, "")));
+                    List.of(new RunResult(1, s.jobId(), s.task(), s.run(), EndKind.DONE, "")));
         }
 
         private void writeRound() {
-            d.passes(BETWEEN_WRITES_MILLIS);
-            d.saved();
+            d.advance(BETWEEN_WRITES_MILLIS);
+            d.completeSaves();
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/StragglerPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/StragglerPassTest.java
@@ -43,33 +43,33 @@
     /** Lets the worker tell once a second, so often, how far its tasks are. */
     private void tells(String worker, int seconds, int percent, int more, StartOrder... starts) {
         for (int s = 1; s <= seconds; s++) {
-            d.passes(1_000);
-            List<RunningReport> running = new ArrayList<>();
+            d.advance(1_000);
+            List<RunStatus> running = new ArrayList<>();
             for (StartOrder o : starts) {
-                running.add(new RunningReport(o.jobId(), o.task(), o.run(), "", percent + s * more, -1));
+                running.add(new RunStatus(o.jobId(), o.task(), o.run(), "", percent + s * more, -1));
             }
-            d.answers(worker, running, List.of());
+            d.answerHold(worker, running, List.of());
         }
     }
 
     private StartOrder startedOnTheFirstOfTwo(long estimateMillis) {
-        d.workers("w1", "w2");
-        d.answers("w1", List.of(), List.of());
-        d.answers("w2", List.of(), List.of());
-        d.job("a", step(1, estimateMillis));
-        d.saved();
+        d.listWorkers("w1", "w2");
+        d.answerHold("w1", List.of(), List.of());
+        d.answerHold("w2", List.of(), List.of());
+        d.submit("a", step(1, estimateMillis));
+        d.completeSaves();
         d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
         return d.lastStart();
     }
 
     private void twoJobsOnTheOnlyWorker() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
-        d.job("a", step(1, 1_000));
-        d.job("b", step(1, 1_000));
-        d.saved();
-        d.passes(50);
-        d.saved();
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
+        d.submit("a", step(1, 1_000));
+        d.submit("b", step(1, 1_000));
+        d.completeSaves();
+        d.advance(50);
+        d.completeSaves();
         assertEquals(2, d.port.starts.size());
     }
 
@@ -81,16 +81,16 @@
             StartOrder first = startedOnTheFirstOfTwo(5_000);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
             tells(first.worker().id(), 2, 10, 0, first);
-            d.answers(other, List.of(), List.of());
+            d.answerHold(other, List.of(), List.of());
             assertTrue(d.port.stops.isEmpty(), "two answers alike may be chance");
             tells(first.worker().id(), 2, 10, 0, first);
             assertEquals(1, d.port.stops.size());
             assertEquals(1, d.port.starts.size(), "nothing starts elsewhere while it may still run");
             d.scheduler.onStopped(d.port.stops.get(0), OrderOutcome.ACCEPTED);
-            d.passes(10);
-            d.answers(first.worker().id(), List.of(), List.of());
-            d.answers(other, List.of(), List.of());
-            d.saved();
+            d.advance(10);
+            d.answerHold(first.worker().id(), List.of(), List.of());
+            d.answerHold(other, List.of(), List.of());
+            d.completeSaves();
             assertNotEquals(first.worker(), d.lastStart().worker());
         }
 
@@ -112,8 +112,8 @@
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
             tells(first.worker().id(), 1, 10, 0, first);
             for (int i = 0; i < 4; i++) {
-                d.passes(600);
-                d.answers(other, List.of(), List.of());
+                d.advance(600);
+                d.answerHold(other, List.of(), List.of());
             }
             assertTrue(d.port.stops.isEmpty(), "nobody knows whether it moves");
             tells(first.worker().id(), 1, 60, 0, first);
@@ -126,63 +126,63 @@
             StartOrder first = startedOnTheFirstOfTwo(5_000);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
             tells(first.worker().id(), 3, 10, 0, first);
-            d.answers(other, List.of(), List.of());
-            d.passes(200);
+            d.answerHold(other, List.of(), List.of());
+            d.advance(200);
             assertTrue(d.port.stops.isEmpty(), "2.2 s since it moved");
-            d.passes(1);
+            d.advance(1);
             assertEquals(1, d.port.stops.size());
         }
 
         @Test
         void isSeenInATaskThatBeganAfterTheLastLook() {
             StartOrder first = startedOnTheFirstOfTwo(20_000);
-            d.passes(2_000);
-            d.answers("w1", first.worker().id().equals("w1") ? List.of(told(first, 10)) : List.of(), List.of());
-            d.answers("w2", first.worker().id().equals("w2") ? List.of(told(first, 10)) : List.of(), List.of());
-            d.passes(100);
-            d.job("b", step(1, 20_000));
-            d.saved();
+            d.advance(2_000);
+            d.answerHold("w1", first.worker().id().equals("w1") ? List.of(told(first, 10)) : List.of(), List.of());
+            d.answerHold("w2", first.worker().id().equals("w2") ? List.of(told(first, 10)) : List.of(), List.of());
+            d.advance(100);
+            d.submit("b", step(1, 20_000));
+            d.completeSaves();
             StartOrder second = d.lastStart();
             d.scheduler.onStarted(second, OrderOutcome.ACCEPTED);
             String worker = second.worker().id();
             String other = worker.equals("w1") ? "w2" : "w1";
             for (int percent = 11; percent < 14; percent++) {
-                d.passes(700);
+                d.advance(700);
                 boolean together = first.worker().equals(second.worker());
-                List<RunningReport> b = List.of(told(second, 0));
-                List<RunningReport> both = List.of(told(first, percent), told(second, 0));
-                d.answers(worker, together ? both : b, List.of());
-                d.answers(other, together ? List.of() : List.of(told(first, percent)), List.of());
+                List<RunStatus> b = List.of(told(second, 0));
+                List<RunStatus> both = List.of(told(first, percent), told(second, 0));
+                d.answerHold(worker, together ? both : b, List.of());
+                d.answerHold(other, together ? List.of() : List.of(told(first, percent)), List.of());
             }
             assertTrue(d.port.stops.isEmpty());
-            d.passes(101);
+            d.advance(101);
             assertEquals(1, d.port.stops.size());
             assertEquals("b", d.port.stops.get(0).jobId());
         }
 
         @Test
         void isALastingTaskThatIsNotAtWorkAnyMore() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.answers("w2", List.of(), List.of());
-            d.job(
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.answerHold("w2", List.of(), List.of());
+            d.submit(
                     "a",
                     StepSpec.builder(1, SchedulerDriver.NEED)
                             .longRunning(true, 1)
                             .build());
-            d.saved();
+            d.completeSaves();
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
             tells(first.worker().id(), 60, 100, 0, first);
-            d.answers(other, List.of(), List.of());
+            d.answerHold(other, List.of(), List.of());
             assertTrue(d.port.stops.isEmpty());
             tells(first.worker().id(), 1, 50, 0, first);
             assertEquals(1, d.port.stops.size());
         }
 
-        private RunningReport told(StartOrder o, int percent) {
-            return new RunningReport(o.jobId(), o.task(), o.run(), "", percent, -1);
+        private RunStatus told(StartOrder o, int percent) {
+            return new RunStatus(o.jobId(), o.task(), o.run(), "", percent, -1);
         }
 
         @Test
@@ -203,39 +203,39 @@
             for (StartOrder o : both) {
                 d.scheduler.onStarted(o, OrderOutcome.ACCEPTED);
             }
-            d.workers("w1", "w2");
-            d.answers("w2", List.of(), List.of());
+            d.listWorkers("w1", "w2");
+            d.answerHold("w2", List.of(), List.of());
             tells("w1", 1, 9, 1, both);
             assertEquals(2, d.port.stops.size());
         }
 
         @Test
         void isNotSeenInOneJobThatTakesLongerThanItsCallerGuessed() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", step(2, 1_000));
-            d.saved();
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", step(2, 1_000));
+            d.completeSaves();
             StartOrder[] both = d.port.starts.toArray(new StartOrder[0]);
             for (StartOrder o : both) {
                 d.scheduler.onStarted(o, OrderOutcome.ACCEPTED);
             }
-            d.workers("w1", "w2");
-            d.answers("w2", List.of(), List.of());
+            d.listWorkers("w1", "w2");
+            d.answerHold("w2", List.of(), List.of());
             tells("w1", 1, 9, 1, both);
             assertTrue(d.port.stops.isEmpty(), "all tasks of a job share its caller's error");
         }
 
         @Test
         void isSeenInATaskThatTakesMuchLongerThanItsSiblings() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", step(5, 1_000));
-            d.saved();
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", step(5, 1_000));
+            d.completeSaves();
             d.scheduler.onStarted(d.port.starts.get(0), OrderOutcome.ACCEPTED);
-            d.passes(300);
-            d.answers("w1", List.of(), List.of(new EndReport(1, "a", FIRST, 1, EndKind.DONE, "")));
-            d.workers("w1", "w2");
-            d.answers("w2", List.of(), List.of());
+            d.advance(300);
+            d.answerHold("w1", List.of(), List.of(new RunResult(1, "a", FIRST, 1, EndKind.DONE, "")));
+            d.listWorkers("w1", "w2");
+            d.answerHold("w2", List.of(), List.of());
             StartOrder second = d.port.starts.get(1);
             d.scheduler.onStarted(second, OrderOutcome.ACCEPTED);
             tells("w1", 1, 39, 1, second);
@@ -246,12 +246,12 @@
         void keepsItsTasksWhenOneOfThemIsFast() {
             twoJobsOnTheOnlyWorker();
             d.port.starts.forEach(o -> d.scheduler.onStarted(o, OrderOutcome.ACCEPTED));
-            d.workers("w1", "w2");
-            d.answers("w2", List.of(), List.of());
-            d.passes(1_000);
-            d.answers(
+            d.listWorkers("w1", "w2");
+            d.answerHold("w2", List.of(), List.of());
+            d.advance(1_000);
+            d.answerHold(
                     "w1",
-                    List.of(new RunningReport("a", FIRST, 1, "", 10, -1), new RunningReport("b", FIRST, 1, "", 90, -1)),
+                    List.of(new RunStatus("a", FIRST, 1, "", 10, -1), new RunStatus("b", FIRST, 1, "", 90, -1)),
                     List.of());
             assertTrue(d.port.stops.isEmpty());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/OpenStartsTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnansweredStartsTest.java
@@ -27,19 +27,19 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-class OpenStartsTest {
+class UnansweredStartsTest {
 
     private static final TaskId TASK = new TaskId(0, 0, 0);
     private static final WorkerFacts WORKER = SchedulerDriver.worker("w1");
 
-    private final OpenStarts starts = new OpenStarts();
+    private final UnansweredStarts starts = new UnansweredStarts();
 
     private static StartOrder start(String job) {
         return new StartOrder(WORKER, job, TASK, 1, "text", 5_000, "", "");
     }
 
-    private static RunningReport running(String job) {
-        return new RunningReport(job, TASK, 1, "", 10, -1);
+    private static RunStatus running(String job) {
+        return new RunStatus(job, TASK, 1, "", 10, -1);
     }
 
     private List<String> due(long now) {
@@ -54,14 +54,14 @@
         void isToldToRefuseWhatMayStillArrive() {
             starts.unanswered(start("a"), true, 1_000);
             assertEquals(List.of(), due(1_500));
-            starts.onNewLife("w1", List.of(), 2_000);
+            starts.onNewIncarnation("w1", List.of(), 2_000);
             assertEquals(List.of("a"), due(2_000));
         }
 
         @Test
         void isToldAgainUntilItAnswers() {
             starts.unanswered(start("a"), true, 1_000);
-            starts.onNewLife("w1", List.of(), 2_000);
+            starts.onNewIncarnation("w1", List.of(), 2_000);
             StopOrder first = starts.due(WORKER, 2_000).get(0);
             assertEquals(List.of(), due(2_001));
             assertEquals(List.of("a"), due(2_300));
@@ -73,22 +73,22 @@
         void keepsWhatItRuns() {
             starts.unanswered(start("a"), true, 1_000);
             starts.unanswered(start("b"), true, 1_000);
-            starts.onNewLife("w1", List.of(running("a")), 2_000);
+            starts.onNewIncarnation("w1", List.of(running("a")), 2_000);
             assertEquals(List.of("b"), due(2_000));
         }
 
         @Test
         void afterThatIsToldToo() {
             starts.unanswered(start("a"), true, 1_000);
-            starts.onNewLife("w1", List.of(), 2_000);
+            starts.onNewIncarnation("w1", List.of(), 2_000);
             starts.refused(starts.due(WORKER, 2_000).get(0));
-            starts.onNewLife("w1", List.of(), 4_000);
+            starts.onNewIncarnation("w1", List.of(), 4_000);
             assertEquals(List.of("a"), due(4_000));
         }
 
         @Test
         void isToldAtOnceToRefuseWhatWasGivenUpWhileUnderWay() {
-            starts.onNewLife("w1", List.of(), 500);
+            starts.onNewIncarnation("w1", List.of(), 500);
             starts.unanswered(start("a"), false, 1_000);
             assertEquals(List.of("a"), due(1_000));
         }
@@ -96,7 +96,7 @@
         @Test
         void hearsNothingOfOldStarts() {
             starts.unanswered(start("a"), true, 1_000);
-            starts.onNewLife("w1", List.of(), 60_000);
+            starts.onNewIncarnation("w1", List.of(), 60_000);
             assertEquals(List.of(), due(60_000));
         }
     }
@@ -113,19 +113,19 @@
         /** Guards against a late copy of a start that runs again what an earlier life has done. */
         @Test
         void aLifeThatFollowsADroppedOneIsToldToo() {
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", 1_000)));
-            d.passes(1);
-            d.answersAs("w1", 1_000, 10, List.of(), List.of());
-            d.job("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
-            d.passes(50);
-            d.saved();
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", 1_000)));
+            d.advance(1);
+            d.answerHoldAs("w1", 1_000, 10, List.of(), List.of());
+            d.submit("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
+            d.advance(50);
+            d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.UNKNOWN);
-            d.passes(3_000);
-            d.scheduler.onLiving(Set.of(), d.now);
+            d.advance(3_000);
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertFalse(stopped());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", 2_000)));
-            d.passes(10);
-            d.answersAs("w1", 2_000, 10, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", 2_000)));
+            d.advance(10);
+            d.answerHoldAs("w1", 2_000, 10, List.of(), List.of());
             assertTrue(stopped());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/LeftAloneTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnreadableJobTest.java
@@ -30,40 +30,40 @@
 import org.lupinpaddle.core.job.TaskRecord;
 
 /** What a job that is left alone has done is known when its record can be read again, by whoever owns it then. */
-class LeftAloneTest {
+class UnreadableJobTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
     private static final JobKey JOB = new JobKey("q", "a");
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
-    private static final List<RunningReport> RUNS = List.of(new RunningReport("a", FIRST, 3, "", 50, -1));
-    private static final EndReport DONE = new EndReport(1, "a", FIRST, 3, EndKind.DONE, "");
+    private static final List<RunStatus> RUNS = List.of(new RunStatus("a", FIRST, 3, "", 50, -1));
+    private static final RunResult DONE = new RunResult(1, "a", FIRST, 3, EndKind.DONE, "");
 
     private final SchedulerDriver d = new SchedulerDriver();
 
     private void aJobThatCanNotBeReadRuns() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
         d.scheduler.onUnreadableJob(JOB);
-        d.answers("w1", RUNS, List.of());
-        d.passes(500);
+        d.answerHold("w1", RUNS, List.of());
+        d.advance(500);
     }
 
     /** An entry of the version that wrote the record follows, or the record is repaired. */
     @Test
     void isNotRunAgainByAnOwnerThatCanReadIt() {
         aJobThatCanNotBeReadRuns();
-        d.answers("w1", List.of(), List.of(DONE));
-        d.passes(2_000);
+        d.answerHold("w1", List.of(), List.of(DONE));
+        d.advance(2_000);
         long mayForget = d.port.holds.get(d.port.holds.size() - 1).acknowledgedUpTo();
         SchedulerDriver next = new SchedulerDriver();
-        next.workers("w1");
+        next.listWorkers("w1");
         TaskRecord third = new TaskRecord(0, 0, 0, 3, 0, false, "w1", "");
-        next.job("a", new JobProgress(JobState.RUNNING, List.of(third), "", 0), ONE);
-        next.passes(10);
-        next.answers("w1", List.of(), mayForget >= DONE.number() ? List.of() : List.of(DONE));
-        next.passes(100);
-        next.saved();
+        next.submit("a", new JobProgress(JobState.RUNNING, List.of(third), "", 0), ONE);
+        next.advance(10);
+        next.answerHold("w1", List.of(), mayForget >= DONE.number() ? List.of() : List.of(DONE));
+        next.advance(100);
+        next.completeSaves();
         assertEquals(0, next.port.starts.size(), "it ended done, and the worker was told to forget that");
     }
 
@@ -71,7 +71,7 @@
     void keepsItsWorkerFromBeingCalledEmpty() {
         aJobThatCanNotBeReadRuns();
         d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-        d.answers("w1", RUNS, List.of());
+        d.answerHold("w1", RUNS, List.of());
         assertTrue(d.port.emptied.isEmpty(), "its run would end with the instance");
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/UnreadableTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnreadableRecordTest.java
@@ -31,20 +31,20 @@
 import org.lupinpaddle.core.job.TaskRecord;
 
 /** What an owner does about jobs and workers whose records can not be read. */
-class UnreadableTest {
+class UnreadableRecordTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
     private static final JobKey JOB = new JobKey("q", "a");
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
-    private static final List<RunningReport> RUNS = List.of(new RunningReport("a", FIRST, 3, "", 50, -1));
+    private static final List<RunStatus> RUNS = List.of(new RunStatus("a", FIRST, 3, "", 50, -1));
 
     private final SchedulerDriver d = new SchedulerDriver();
 
     private void answering(String... workers) {
-        d.workers(workers);
+        d.listWorkers(workers);
         for (String w : workers) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
     }
 
@@ -59,10 +59,10 @@
         void runsOnAndIsNotBegunAnew() {
             answering("w1");
             d.scheduler.onUnreadableJob(JOB);
-            d.answers("w1", RUNS, List.of());
-            d.passes(1_000);
-            d.answers("w1", List.of(), List.of(new EndReport(1, "a", FIRST, 3, EndKind.FAILED, "")));
-            d.passes(1_000);
+            d.answerHold("w1", RUNS, List.of());
+            d.advance(1_000);
+            d.answerHold("w1", List.of(), List.of(new RunResult(1, "a", FIRST, 3, EndKind.FAILED, "")));
+            d.advance(1_000);
             assertEquals(List.of(), d.port.stops);
             assertEquals(List.of(), d.port.starts);
             assertEquals(List.of(), d.port.saves);
@@ -73,20 +73,20 @@
         void keepsItsEndOnItsWorker() {
             answering("w1", "w2");
             d.scheduler.onUnreadableJob(JOB);
-            EndReport done = new EndReport(1, "a", FIRST, 3, EndKind.DONE, "");
-            d.answers("w1", List.of(), List.of(done));
-            d.passes(1_000);
+            RunResult done = new RunResult(1, "a", FIRST, 3, EndKind.DONE, "");
+            d.answerHold("w1", List.of(), List.of(done));
+            d.advance(1_000);
             assertEquals(0, d.port.holds.get(d.port.holds.size() - 1).acknowledgedUpTo());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-            d.passes(100);
+            d.advance(100);
             assertEquals(List.of(), d.port.emptied);
             TaskRecord ran = new TaskRecord(0, 0, 0, 3, 0, false, "w1", "");
-            d.job("a", new JobProgress(JobState.RUNNING, List.of(ran), "", 0), ONE);
-            d.answers("w1", List.of(), List.of(done));
-            d.passes(100);
-            d.saved();
+            d.submit("a", new JobProgress(JobState.RUNNING, List.of(ran), "", 0), ONE);
+            d.answerHold("w1", List.of(), List.of(done));
+            d.advance(100);
+            d.completeSaves();
             assertEquals(List.of(), d.port.starts);
-            d.passes(100);
+            d.advance(100);
             assertEquals(List.of("w1"), d.port.emptied.stream().distinct().toList());
         }
 
@@ -94,9 +94,9 @@
         void keepsTheWorkerThatRunsIt() {
             answering("w1");
             d.scheduler.onUnreadableJob(JOB);
-            d.answers("w1", RUNS, List.of());
+            d.answerHold("w1", RUNS, List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
-            d.passes(100);
+            d.advance(100);
             assertEquals(List.of(), d.port.emptied);
         }
 
@@ -105,7 +105,7 @@
             answering("w1");
             d.scheduler.onUnreadableJob(JOB);
             d.scheduler.onCancel(JOB);
-            d.answers("w1", RUNS, List.of());
+            d.answerHold("w1", RUNS, List.of());
             assertEquals(1, d.port.stops.size());
             assertEquals(3, d.port.stops.get(0).run());
         }
@@ -113,13 +113,13 @@
         @Test
         void thatIsKnownGoesOnAsItWas() {
             answering("w1");
-            d.job("a", ONE);
-            d.saved();
+            d.submit("a", ONE);
+            d.completeSaves();
             int run = d.lastStart().run();
             d.scheduler.onUnreadableJob(JOB);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
-            d.answers("w1", List.of(), List.of(new EndReport(1, "a", FIRST, run, EndKind.DONE, "")));
-            d.passes(1_000);
+            d.answerHold("w1", List.of(), List.of(new RunResult(1, "a", FIRST, run, EndKind.DONE, "")));
+            d.advance(1_000);
             assertTrue(d.port.saves.stream()
                     .flatMap(List::stream)
                     .anyMatch(s -> s.progress().state().ended()));
@@ -135,18 +135,18 @@
         @Test
         void isAskedOnAtTheAddressThatItHadAndGetsNothingNew() {
             answering("w1");
-            d.job("a", ONE);
-            d.saved();
+            d.submit("a", ONE);
+            d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             int run = d.lastStart().run();
-            d.workers();
+            d.listWorkers();
             long before = holds("w1");
             for (long t = 0; t < LONG_MILLIS; t += 500) {
-                d.answers("w1", List.of(new RunningReport("a", FIRST, run, "", 50, -1)), List.of());
-                d.passes(500);
+                d.answerHold("w1", List.of(new RunStatus("a", FIRST, run, "", 50, -1)), List.of());
+                d.advance(500);
             }
-            d.job("b", ONE);
-            d.saved();
+            d.submit("b", ONE);
+            d.completeSaves();
             assertTrue(holds("w1") > before + 10);
             assertEquals(
                     "at-w1", d.port.holds.get(d.port.holds.size() - 1).worker().address());
@@ -158,12 +158,12 @@
         @Test
         void thatIsListedAgainGetsNewWork() {
             answering("w1");
-            d.workers();
-            d.job("a", ONE);
-            d.saved();
+            d.listWorkers();
+            d.submit("a", ONE);
+            d.completeSaves();
             assertEquals(List.of(), d.port.starts);
             answering("w1");
-            d.saved();
+            d.completeSaves();
             assertEquals("w1", d.lastStart().worker().id());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/DoubtedWorkerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnresponsiveWorkerTest.java
@@ -27,7 +27,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /** Whether a worker that left an order unanswered counts as out of reach. */
-class DoubtedWorkerTest {
+class UnresponsiveWorkerTest {
 
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
@@ -42,9 +42,9 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     private void handIn(String job) {
-        d.job(job, ONE);
-        d.passes(GATHERING_MILLIS);
-        d.saved();
+        d.submit(job, ONE);
+        d.advance(GATHERING_MILLIS);
+        d.completeSaves();
     }
 
     private StartOrder starts(String job) {
@@ -55,9 +55,9 @@
     }
 
     private void onlyWorkerAnswers() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
-        d.passes(ROUND_TRIP_MILLIS);
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
+        d.advance(ROUND_TRIP_MILLIS);
     }
 
     private boolean isStarted(String job) {
@@ -75,12 +75,12 @@
         void goesOnOnceTheNextStartIsAnswered() {
             onlyWorkerAnswers();
             StartOrder first = starts("a");
-            d.passes(CALL_MILLIS);
+            d.advance(CALL_MILLIS);
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
-            d.passes(CALL_MILLIS);
+            d.advance(CALL_MILLIS);
             StartOrder again = d.lastStart();
             assertNotEquals(first, again);
-            d.passes(ROUND_TRIP_MILLIS);
+            d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(again, OrderOutcome.ACCEPTED);
             handIn("b");
             assertTrue(isStarted("b"), "the worker has answered; a hold that waits for an end says no more");
@@ -91,9 +91,9 @@
             onlyWorkerAnswers();
             StartOrder lost = starts("a");
             StartOrder answered = starts("b");
-            d.passes(ROUND_TRIP_MILLIS);
+            d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
-            d.passes(CALL_MILLIS);
+            d.advance(CALL_MILLIS);
             d.scheduler.onStarted(lost, OrderOutcome.UNKNOWN);
             handIn("c");
             assertTrue(isStarted("c"));
@@ -103,11 +103,11 @@
         void waitsWhenAllAnswersAreOlderThanTheOrder() {
             onlyWorkerAnswers();
             StartOrder answered = starts("a");
-            d.passes(ROUND_TRIP_MILLIS);
+            d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
-            d.passes(ROUND_TRIP_MILLIS);
+            d.advance(ROUND_TRIP_MILLIS);
             StartOrder lost = starts("b");
-            d.passes(CALL_MILLIS);
+            d.advance(CALL_MILLIS);
             d.scheduler.onStarted(lost, OrderOutcome.UNKNOWN);
             handIn("c");
             assertFalse(isStarted("c"));
@@ -121,10 +121,10 @@
         void countsAHoldByWhenItsAnswerWasDue() {
             onlyWorkerAnswers();
             StartOrder answered = starts("a");
-            d.passes(ROUND_TRIP_MILLIS);
+            d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
-            d.passes(IDLE_WAIT_MILLIS + CALL_MILLIS);
-            d.silent("w1");
+            d.advance(IDLE_WAIT_MILLIS + CALL_MILLIS);
+            d.leaveHoldUnanswered("w1");
             handIn("b");
             assertFalse(isStarted("b"), "the worker was last heard long before the hold was to be answered");
         }
@@ -132,9 +132,9 @@
         @Test
         void endsTheDoubtAlsoWhereTheHoldFailedBeforeItWasDue() {
             onlyWorkerAnswers();
-            d.silent("w1");
-            d.passes(ROUND_TRIP_MILLIS);
-            d.answers("w1", List.of(), List.of());
+            d.leaveHoldUnanswered("w1");
+            d.advance(ROUND_TRIP_MILLIS);
+            d.answerHold("w1", List.of(), List.of());
             handIn("a");
             assertTrue(isStarted("a"));
         }
@@ -143,15 +143,15 @@
         void followsTheFirstSilenceAtOnce() {
             onlyWorkerAnswers();
             int before = d.port.holds.size();
-            d.silent("w1");
+            d.leaveHoldUnanswered("w1");
             assertEquals(before + 1, d.port.holds.size());
         }
 
         @Test
         void doesNotWaitForAnEnd() {
             onlyWorkerAnswers();
-            d.silent("w1");
-            d.passes(CALL_MILLIS);
+            d.leaveHoldUnanswered("w1");
+            d.advance(CALL_MILLIS);
             assertEquals(0, d.port.holds.get(d.port.holds.size() - 1).waitMillis());
         }
     }
@@ -162,16 +162,16 @@
         @Test
         void countsTheWorkerAsReachedAfterOneSilence() {
             onlyWorkerAnswers();
-            d.silent("w1");
+            d.leaveHoldUnanswered("w1");
             assertTrue(isReached(), "one lost answer is no reason to fetch an instance in its place");
         }
 
         @Test
         void countsItAsOutOfReachWhenTheNextLookIsUnansweredToo() {
             onlyWorkerAnswers();
-            d.silent("w1");
-            d.passes(CALL_MILLIS);
-            d.silent("w1");
+            d.leaveHoldUnanswered("w1");
+            d.advance(CALL_MILLIS);
+            d.leaveHoldUnanswered("w1");
             assertFalse(isReached());
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -48,34 +48,34 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private static RunningReport running(String job, int run) {
-        return new RunningReport(job, TASK, run, "", 10, -1);
+    private static RunStatus running(String job, int run) {
+        return new RunStatus(job, TASK, run, "", 10, -1);
     }
 
-    private static EndReport done(long number, String job, int run) {
-        return new EndReport(number, job, TASK, run, EndKind.DONE, "");
+    private static RunResult done(long number, String job, int run) {
+        return new RunResult(number, job, TASK, run, EndKind.DONE, "");
     }
 
     /** Lists workers that have answered a hold in their first lives. */
     private void listed(String... ids) {
         d.scheduler.onWorkers(List.of(ids).stream()
-                .map(id -> SchedulerDriver.born(id, FIRST_BIRTH))
+                .map(id -> SchedulerDriver.workerBornAt(id, FIRST_BIRTH))
                 .toList());
-        d.passes(1);
+        d.advance(1);
         for (String id : ids) {
-            d.answersAs(id, FIRST_BIRTH, OLD_CLOCK, List.of(), List.of());
+            d.answerHoldAs(id, FIRST_BIRTH, OLD_CLOCK, List.of(), List.of());
         }
     }
 
     /** Starts a job of one task, which a worker accepts. */
     private StartOrder started(String job) {
-        d.job(job, ONE);
-        d.passes(50);
-        d.saved();
+        d.submit(job, ONE);
+        d.advance(50);
+        d.completeSaves();
         StartOrder s = d.lastStart();
         assertEquals(job, s.jobId());
         d.scheduler.onStarted(s, OrderOutcome.ACCEPTED);
-        d.passes(10);
+        d.advance(10);
         return s;
     }
 
@@ -85,9 +85,9 @@
         for (String job : jobs) {
             number++;
             StartOrder s = started(job);
-            d.answersAs(worker, FIRST_BIRTH, OLD_CLOCK + number, List.of(), List.of(done(number, job, s.run())));
-            d.passes(50);
-            d.saved();
+            d.answerHoldAs(worker, FIRST_BIRTH, OLD_CLOCK + number, List.of(), List.of(done(number, job, s.run())));
+            d.advance(50);
+            d.completeSaves();
         }
     }
 
@@ -111,10 +111,10 @@
         void areProcessedThoughAnEarlierLifeUsedTheirNumbers() {
             listed("w1");
             firstLifeEnds("w1", "a", "b", "c");
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             StartOrder s = started("x");
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "x", s.run())));
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "x", s.run())));
             assertEquals(List.of("a", "b", "c", "x"), ended(JobState.COMPLETED));
         }
 
@@ -123,8 +123,8 @@
         void areNotAcknowledgedByTheNumbersOfAnEarlierLife() {
             listed("w1");
             firstLifeEnds("w1", "a", "b", "c");
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.passes(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.advance(10);
             assertEquals(0, d.lastHold("w1").acknowledgedUpTo());
         }
 
@@ -134,20 +134,20 @@
             listed("w1");
             firstLifeEnds("w1", "a", "b", "c");
             assertEquals(3, d.lastHold("w1").acknowledgedUpTo());
-            d.passes(600);
-            d.silent("w1");
-            d.passes(300);
+            d.advance(600);
+            d.leaveHoldUnanswered("w1");
+            d.advance(300);
             assertEquals(0, d.lastHold("w1").acknowledgedUpTo());
-            d.answersAs("w1", FIRST_BIRTH, OLD_CLOCK + 1_000, List.of(), List.of());
-            d.passes(10);
+            d.answerHoldAs("w1", FIRST_BIRTH, OLD_CLOCK + 1_000, List.of(), List.of());
+            d.advance(10);
             assertEquals(3, d.lastHold("w1").acknowledgedUpTo());
         }
     }
 
     /** Returns the newest record of a job's task. */
     private TaskRecord written() {
-        d.passes(50);
-        List<List<SchedulerPort.Saving>> saves = d.port.saves;
+        d.advance(50);
+        List<List<SchedulerPort.ProgressWrite>> saves = d.port.saves;
         return saves.get(saves.size() - 1).get(0).progress().tasks().get(0);
     }
 
@@ -160,10 +160,10 @@
             listed("w1", "w2");
             StartOrder s = started("a");
             String lost = s.worker().id();
-            d.answersAs(lost, FIRST_BIRTH, OLD_CLOCK + 100, List.of(running("a", 1)), List.of());
-            d.answersAs(lost, SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.answerHoldAs(lost, FIRST_BIRTH, OLD_CLOCK + 100, List.of(running("a", 1)), List.of());
+            d.answerHoldAs(lost, SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             assertEquals(1, written().knownCrashes());
-            d.saved();
+            d.completeSaves();
             assertEquals(2, d.lastStart().run());
             assertEquals(List.of(), d.port.stops);
         }
@@ -173,8 +173,8 @@
         void thatTheNewLifeRunsGoesOn() {
             listed("w1", "w2");
             StartOrder s = started("a");
-            d.answersAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
-            d.answersAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", 1)));
+            d.answerHoldAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
+            d.answerHoldAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", 1)));
             assertEquals(List.of("a"), ended(JobState.COMPLETED));
             assertEquals(1, d.port.starts.size());
         }
@@ -184,14 +184,14 @@
         void thatWasGivenUpAndIsFoundAliveGoesOn() {
             listed("w1");
             StartOrder s = started("a");
-            d.passes(3_000);
-            d.scheduler.onLiving(Set.of(), d.now);
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.passes(1);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", s.run())), List.of());
-            d.passes(50);
-            d.saved();
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", s.run())));
+            d.advance(3_000);
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.advance(1);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", s.run())), List.of());
+            d.advance(50);
+            d.completeSaves();
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", s.run())));
             assertEquals(1, d.port.starts.size());
             assertEquals(List.of(), d.port.stops);
             assertEquals(List.of("a"), ended(JobState.COMPLETED));
@@ -204,13 +204,13 @@
             StartOrder s = started("a");
             HoldOrder early = d.lastHold("w1");
             long sentAt = d.now;
-            d.silent("w1");
-            d.passes(300);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
-            d.scheduler.onHeld(
-                    early, sentAt, new HoldAnswer(FIRST_BIRTH, OLD_CLOCK, List.of(), List.of(done(7, "a", s.run()))));
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", 1)));
+            d.leaveHoldUnanswered("w1");
+            d.advance(300);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
+            d.scheduler.onHoldAnswered(
+                    early, sentAt, new HoldResponse(FIRST_BIRTH, OLD_CLOCK, List.of(), List.of(done(7, "a", s.run()))));
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", 1)));
             assertEquals(List.of("a"), ended(JobState.COMPLETED));
             assertEquals(1, d.port.starts.size());
         }
@@ -223,9 +223,9 @@
         @Test
         void carriesADeadlineOfTheNewLifesClock() {
             listed("w1");
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             StartOrder s = started("a");
             assertTrue(s.deadlineMillis() < NEW_CLOCK + 2 * SchedulerDriver.HOLD_MILLIS, () -> "" + s.deadlineMillis());
         }
@@ -236,12 +236,12 @@
             listed("w1");
             started("a");
             assertTrue(d.lastHold("w1").deadlineMillis() > OLD_CLOCK);
-            d.passes(1_000);
-            d.silent("w1");
-            d.passes(300);
+            d.advance(1_000);
+            d.leaveHoldUnanswered("w1");
+            d.advance(300);
             assertEquals(0, d.lastHold("w1").deadlineMillis());
             assertEquals(0, d.lastHold("w1").waitMillis());
-            d.answersAs("w1", FIRST_BIRTH, OLD_CLOCK + 1_300, List.of(running("a", 1)), List.of());
+            d.answerHoldAs("w1", FIRST_BIRTH, OLD_CLOCK + 1_300, List.of(running("a", 1)), List.of());
             assertEquals(
                     OLD_CLOCK + 1_300 + SchedulerDriver.HOLD_MILLIS,
                     d.lastHold("w1").deadlineMillis());
@@ -251,14 +251,14 @@
         @Test
         void waitsForTheEntryOfTheNewLife() {
             listed("w1");
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.job("a", ONE);
-            d.passes(50);
-            d.saved();
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.submit("a", ONE);
+            d.advance(50);
+            d.completeSaves();
             assertEquals(0, d.port.starts.size());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.passes(50);
-            d.saved();
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.advance(50);
+            d.completeSaves();
             assertEquals(1, d.port.starts.size());
         }
     }
@@ -271,15 +271,15 @@
         void doesNotHoldForTheNext() {
             listed("w1");
             StartOrder s = started("a");
-            EndReport failed = new EndReport(1, "a", TASK, s.run(), EndKind.FAILED, "");
-            d.answersAs("w1", FIRST_BIRTH, OLD_CLOCK + 100, List.of(), List.of(failed));
-            d.passes(50);
-            d.saved();
+            RunResult failed = new RunResult(1, "a", TASK, s.run(), EndKind.FAILED, "");
+            d.answerHoldAs("w1", FIRST_BIRTH, OLD_CLOCK + 100, List.of(), List.of(failed));
+            d.advance(50);
+            d.completeSaves();
             assertEquals(1, d.port.starts.size());
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.passes(50);
-            d.saved();
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.advance(50);
+            d.completeSaves();
             assertEquals(2, d.port.starts.size());
         }
     }
@@ -290,15 +290,15 @@
         /** Guards against passing over the results of a life that only its clock tells from the one before. */
         @Test
         void isKnownToHaveRestartedByItsClock() {
-            d.workers("w1");
-            d.answersAs("w1", 0, OLD_CLOCK, List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHoldAs("w1", 0, OLD_CLOCK, List.of(), List.of());
             StartOrder a = started("a");
-            d.answersAs("w1", 0, OLD_CLOCK + 100, List.of(), List.of(done(1, "a", a.run())));
-            d.passes(50);
-            d.saved();
-            d.answersAs("w1", 0, NEW_CLOCK, List.of(), List.of());
+            d.answerHoldAs("w1", 0, OLD_CLOCK + 100, List.of(), List.of(done(1, "a", a.run())));
+            d.advance(50);
+            d.completeSaves();
+            d.answerHoldAs("w1", 0, NEW_CLOCK, List.of(), List.of());
             StartOrder b = started("b");
-            d.answersAs("w1", 0, NEW_CLOCK + 100, List.of(), List.of(done(1, "b", b.run())));
+            d.answerHoldAs("w1", 0, NEW_CLOCK + 100, List.of(), List.of(done(1, "b", b.run())));
             assertEquals(List.of("a", "b"), ended(JobState.COMPLETED));
         }
     }
@@ -309,12 +309,12 @@
         /** Guards against taking answers that overtake each other for a restart. */
         @Test
         void endsNoLife() {
-            d.workers("w1");
+            d.listWorkers("w1");
             long sentAt = d.now;
             HoldOrder early = d.lastHold("w1");
-            d.passes(100);
-            d.answersAs("w1", 0, OLD_CLOCK + 100, List.of(), List.of());
-            d.scheduler.onHeld(early, sentAt, new HoldAnswer(0, OLD_CLOCK, List.of(), List.of()));
+            d.advance(100);
+            d.answerHoldAs("w1", 0, OLD_CLOCK + 100, List.of(), List.of());
+            d.scheduler.onHoldAnswered(early, sentAt, new HoldResponse(0, OLD_CLOCK, List.of(), List.of()));
             assertEquals(
                     0,
                     d.port.events.stream()
@@ -328,14 +328,14 @@
 
         private StartOrder silentSinceItsStart() {
             listed("w1");
-            d.job("a", ONE);
-            d.passes(50);
-            d.saved();
-            d.scheduler.onWorkers(
-                    List.of(SchedulerDriver.born("w1", FIRST_BIRTH), SchedulerDriver.born("w2", FIRST_BIRTH)));
-            d.passes(1);
-            d.answersAs("w2", FIRST_BIRTH, OLD_CLOCK, List.of(), List.of());
-            d.passes(2_800);
+            d.submit("a", ONE);
+            d.advance(50);
+            d.completeSaves();
+            d.scheduler.onWorkers(List.of(
+                    SchedulerDriver.workerBornAt("w1", FIRST_BIRTH), SchedulerDriver.workerBornAt("w2", FIRST_BIRTH)));
+            d.advance(1);
+            d.answerHoldAs("w2", FIRST_BIRTH, OLD_CLOCK, List.of(), List.of());
+            d.advance(2_800);
             return d.lastStart();
         }
 
@@ -343,12 +343,12 @@
         @Test
         void endsNoRunWhoseStartIsUnderWay() {
             StartOrder s = silentSinceItsStart();
-            d.scheduler.onLiving(Set.of(), d.now);
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertFalse(isLost());
             d.scheduler.onStarted(s, OrderOutcome.UNKNOWN);
-            d.passes(300);
+            d.advance(300);
             assertEquals(1, d.port.starts.size(), "no further start goes out, which would be under way again");
-            d.scheduler.onLiving(Set.of(), d.now);
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertTrue(isLost());
         }
 
@@ -357,9 +357,9 @@
         void endsNoRunOfAWorkerWhoseEntryIsNewer() {
             StartOrder s = silentSinceItsStart();
             d.scheduler.onStarted(s, OrderOutcome.UNKNOWN);
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.passes(10);
-            d.scheduler.onLiving(Set.of(), d.now);
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.advance(10);
+            d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertFalse(isLost());
         }
     }
@@ -378,18 +378,18 @@
             early = d.lastHold("w1");
             sentAt = d.now;
             // The entry of another life lets a further poll be sent, and keeps new runs away.
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.passes(CALL_MILLIS);
-            EndReport stopped = new EndReport(1, "a", TASK, s.run(), EndKind.STOPPED, "");
-            d.answersAs("w1", FIRST_BIRTH, OLD_CLOCK + 20, List.of(), List.of(stopped));
-            d.passes(50);
-            d.saved();
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.advance(CALL_MILLIS);
+            RunResult stopped = new RunResult(1, "a", TASK, s.run(), EndKind.STOPPED, "");
+            d.answerHoldAs("w1", FIRST_BIRTH, OLD_CLOCK + 20, List.of(), List.of(stopped));
+            d.advance(50);
+            d.completeSaves();
         }
 
         private void olderAnswerArrives() {
-            HoldAnswer older = new HoldAnswer(FIRST_BIRTH, OLD_CLOCK + 10, List.of(running("a", 1)), List.of());
-            d.scheduler.onHeld(Objects.requireNonNull(early), sentAt, older);
-            d.passes(1);
+            HoldResponse older = new HoldResponse(FIRST_BIRTH, OLD_CLOCK + 10, List.of(running("a", 1)), List.of());
+            d.scheduler.onHoldAnswered(Objects.requireNonNull(early), sentAt, older);
+            d.advance(1);
         }
 
         /** Guards against taking a run that has ended for one that is alive, which keeps a stopped task off every worker. */
@@ -419,13 +419,13 @@
         @Test
         void mayKeepItsRunsForAsLongAsAnyWorkerDoes() {
             listed("w1");
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             started("a");
-            d.passes(LONGEST_HOLD_MILLIS - 500);
+            d.advance(LONGEST_HOLD_MILLIS - 500);
             assertFalse(isLost());
-            d.passes(2_000);
+            d.advance(2_000);
             assertTrue(isLost());
         }
 
@@ -433,17 +433,17 @@
         @Test
         void mayKeepItsRunsByAStartThatWasUnderWay() {
             listed("w1");
-            d.job("a", ONE);
-            d.passes(50);
-            d.saved();
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            d.passes(500);
+            d.submit("a", ONE);
+            d.advance(50);
+            d.completeSaves();
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.advance(500);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.UNKNOWN);
-            d.silent("w1");
-            d.passes(LONGEST_HOLD_MILLIS + 2_000);
+            d.leaveHoldUnanswered("w1");
+            d.advance(LONGEST_HOLD_MILLIS + 2_000);
             assertFalse(isLost());
-            d.passes(15_000);
+            d.advance(15_000);
             assertTrue(isLost());
         }
     }
@@ -453,10 +453,10 @@
 
         private void recovers(@Nullable Long recordedBirth) {
             TaskRecord r = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "", 0, 0, recordedBirth);
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.job("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.submit("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
         }
 
         /** Guards against starting a task without end since each owner takes its lost run for one that never began. */
@@ -470,12 +470,12 @@
         @Test
         void aRunOfAnEarlierLifeThatIsShownMayBeKeptForAsLongAsAnyWorkerDoes() {
             TaskRecord r = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "", 0, 0, FIRST_BIRTH);
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", SECOND_BIRTH)));
-            d.job("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
-            d.passes(10);
-            d.answersAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
-            d.silent("w1");
-            d.passes(9_500);
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
+            d.submit("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
+            d.advance(10);
+            d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
+            d.leaveHoldUnanswered("w1");
+            d.advance(9_500);
             assertEquals(List.of(), d.port.starts);
             assertFalse(isLost());
         }
@@ -491,7 +491,7 @@
         void theRecordNamesTheLife() {
             listed("w1");
             started("a");
-            d.job("b", ONE);
+            d.submit("b", ONE);
             assertEquals(FIRST_BIRTH, written().knownWorkerBornMillis());
         }
     }
@@ -503,9 +503,9 @@
         @Test
         void isLoggedOnceAndTheWorkerIsUsed() {
             long unreadable = WorkerIncarnation.UNREADABLE_BIRTH;
-            d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", unreadable)));
-            d.passes(1);
-            d.answersAs("w1", unreadable, OLD_CLOCK, List.of(), List.of());
+            d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", unreadable)));
+            d.advance(1);
+            d.answerHoldAs("w1", unreadable, OLD_CLOCK, List.of(), List.of());
             started("a");
             long logged = d.port.events.stream()
                     .filter(e -> e.kind() == SchedulerEvent.Kind.BIRTH_UNREADABLE)
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.placement.WorkerFacts;
-import org.lupinpaddle.core.run.AdviceOrder;
+import org.lupinpaddle.core.run.AdviceRequest;
 import org.lupinpaddle.core.run.HoldOrder;
 import org.lupinpaddle.core.run.OrderOutcome;
 import org.lupinpaddle.core.run.PaceOrder;
@@ -300,7 +300,7 @@
     }
 
     private void lookForMissed() {
-        if (scheduler == null || !scheduler.missesWorkers()) {
+        if (scheduler == null || !scheduler.hasSilentWorkersWithTasks()) {
             return;
         }
         long askedAt = entry.loop.clock().millis();
@@ -310,7 +310,7 @@
                     if (why != null) {
                         Log.info("instances-unread", "service", service, "why", StoreFailure.text(why));
                     } else if (!all.instances().isEmpty() && all.namesAllWorkers()) {
-                        told(s -> s.onLiving(living(all.instances()), askedAt));
+                        told(s -> s.onRunningWorkers(living(all.instances()), askedAt));
                     }
                 }));
     }
@@ -340,7 +340,7 @@
             // the requests are read. Nor is anything started while a cancellation may have been answered that is not
             // known here: right after an outage of the store the list of workers may be new and the jobs' one not.
             if (evacuations.isRead()) {
-                scheduler.onWorkersKnown(Math.min(workers.confirmedAt(), inputs.confirmedAt()));
+                scheduler.onWorkersConfirmed(Math.min(workers.confirmedAt(), inputs.confirmedAt()));
             }
             scheduler.tick();
             quotas.run();
@@ -363,7 +363,7 @@
     }
 
     private void endHandOver() {
-        if (handedOver != null && scheduler != null && scheduler.isWritten()) {
+        if (handedOver != null && scheduler != null && scheduler.isFullySaved()) {
             handedOver.complete(null);
         }
     }
@@ -397,7 +397,7 @@
                             if (r.answer() == null) {
                                 s.onHoldFailed(order, r.outcome());
                             } else {
-                                s.onHeld(order, sentAt, r.answer());
+                                s.onHoldAnswered(order, sentAt, r.answer());
                             }
                         }),
                         entry.loop::execute);
@@ -415,17 +415,17 @@
     }
 
     @Override
-    public void advise(AdviceOrder order) {
+    public void advise(AdviceRequest order) {
         entry.advice
                 .advise(order)
-                .thenAcceptAsync(a -> told(s -> s.onAdvised(order, a.orElse(null))), entry.loop::execute);
+                .thenAcceptAsync(a -> told(s -> s.onAdvice(order, a.orElse(null))), entry.loop::execute);
     }
 
     @Override
-    public void save(List<Saving> batch) {
+    public void save(List<ProgressWrite> batch) {
         Map<String, String> values = new LinkedHashMap<>();
         Map<String, String> small = new LinkedHashMap<>();
-        for (Saving s : batch) {
+        for (ProgressWrite s : batch) {
             values.put(JobKeys.progress(service, s.job()), RecordCodec.write(s.progress()));
             if (s.progress().over()) {
                 small.put(JobKeys.job(service, s.job()), JobSpec.OVER);
@@ -434,7 +434,7 @@
         records.write(values, small, outcome -> saved(batch, outcome));
     }
 
-    private void saved(List<Saving> batch, OwnedRecords.Outcome outcome) {
+    private void saved(List<ProgressWrite> batch, OwnedRecords.Outcome outcome) {
         ServiceScheduler s = scheduler;
         if (s == null || followed) {
             return;
@@ -449,7 +449,7 @@
                         "service",
                         service,
                         "records",
-                        batch.stream().map(Saving::job).toList());
+                        batch.stream().map(ProgressWrite::job).toList());
                 s.onSaveRejected(batch);
             }
             case NOT_OWNER -> {
@@ -465,14 +465,14 @@
     /** Goes on writing what was heard before the end, as long as the store takes it. */
     private void writeRest() {
         ServiceScheduler s = scheduler;
-        if (s == null || followed || s.isWritten()) {
+        if (s == null || followed || s.isFullySaved()) {
             return;
         }
         if (entry.loop.clock().millis() - closedAt > REST_MILLIS) {
             Log.warn("progress-left-unwritten", "service", service, "fence", fence);
             return;
         }
-        s.writeRest();
+        s.flush();
         entry.loop.after(TICK_MILLIS, this::writeRest);
     }
 
@@ -534,7 +534,7 @@
         inputs.close();
         evacuations.close();
         quotas.close();
-        boolean written = scheduler == null || scheduler.isWritten();
+        boolean written = scheduler == null || scheduler.isFullySaved();
         Log.info("scheduler-stopped", "service", service, "fence", fence, "all-written", written);
         if (handedOver != null) {
             handedOver.complete(null);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/AdviceService.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/AdviceService.java
@@ -17,12 +17,12 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.core.run.AdviceAnswer;
-import org.lupinpaddle.core.run.AdviceOrder;
+import org.lupinpaddle.core.run.AdviceRequest;
+import org.lupinpaddle.core.run.AdviceResponse;
 
 /** The platform's service that knows which workers may run a step. */
 public interface AdviceService {
 
     /** Asks; the future never ends exceptionally, and is empty when there was no answer. */
-    CompletableFuture<Optional<AdviceAnswer>> advise(AdviceOrder order);
+    CompletableFuture<Optional<AdviceResponse>> advise(AdviceRequest order);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/HoldResult.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/HoldResult.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.daemon.port;
 
 import org.jspecify.annotations.Nullable;
-import org.lupinpaddle.core.run.HoldAnswer;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
 
 /**
@@ -25,4 +25,4 @@
  * @param outcome whether it was accepted
  * @param answer what the worker said; null unless it was accepted
  */
-public record HoldResult(OrderOutcome outcome, @Nullable HoldAnswer answer) {}
+public record HoldResult(OrderOutcome outcome, @Nullable HoldResponse answer) {}
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -38,12 +38,12 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
-import org.lupinpaddle.core.run.EndReport;
-import org.lupinpaddle.core.run.HoldAnswer;
 import org.lupinpaddle.core.run.HoldOrder;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
 import org.lupinpaddle.core.run.PaceOrder;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunResult;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.run.SchedulerTiming;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
@@ -69,8 +69,8 @@
     /** Answers each hold 20 ms later, and takes each start. */
     private final class Workers implements WorkerOrders {
         private final List<String> startedOn = new ArrayList<>();
-        private List<RunningReport> running = List.of();
-        private List<EndReport> ended = List.of();
+        private List<RunStatus> running = List.of();
+        private List<RunResult> ended = List.of();
 
         @Override
         public CompletableFuture<OrderOutcome> start(StartOrder order, long fence) {
@@ -91,7 +91,7 @@
         @Override
         public CompletableFuture<HoldResult> hold(HoldOrder order, long fence) {
             CompletableFuture<HoldResult> r = new CompletableFuture<>();
-            HoldAnswer a = new HoldAnswer(100_000 + loop.clock().millis(), running, ended);
+            HoldResponse a = new HoldResponse(100_000 + loop.clock().millis(), running, ended);
             loop.after(20, () -> r.complete(new HoldResult(OrderOutcome.ACCEPTED, a)));
             return r;
         }
@@ -243,11 +243,11 @@
         aWorkerAndAJob();
         SchedulerHost host = owner(JobKeys.evacuations("clips"), 0);
         TaskId first = new TaskId(0, 0, 0);
-        orders.running = List.of(new RunningReport("a", first, 1, "", 50, -1));
+        orders.running = List.of(new RunStatus("a", first, 1, "", 50, -1));
         passes(1_000);
         assertEquals(List.of("w1"), orders.startedOn);
         orders.running = List.of();
-        orders.ended = List.of(new EndReport(1, "a", first, 1, EndKind.DONE, ""));
+        orders.ended = List.of(new RunResult(1, "a", first, 1, EndKind.DONE, ""));
         store.holdsCommits = true;
         loop.passes(30);
         store.holdsCommits = false;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -42,12 +42,12 @@
 import org.lupinpaddle.core.queue.JobConfiguration;
 import org.lupinpaddle.core.queue.QueueConfig;
 import org.lupinpaddle.core.queue.ServiceConfig;
-import org.lupinpaddle.core.run.EndReport;
-import org.lupinpaddle.core.run.HoldAnswer;
 import org.lupinpaddle.core.run.HoldOrder;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
 import org.lupinpaddle.core.run.PaceOrder;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunResult;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
 import org.lupinpaddle.daemon.port.HoldResult;
@@ -73,15 +73,14 @@
     /** Answers each hold at once when something has ended, else after 20 ms; takes each order. */
     final class Workers implements WorkerOrders {
         final List<StartOrder> starts = new ArrayList<>();
-        private final Map<String, List<RunningReport>> running = new HashMap<>();
-        private final Map<String, List<EndReport>> ended = new HashMap<>();
+        private final Map<String, List<RunStatus>> running = new HashMap<>();
+        private final Map<String, List<RunResult>> ended = new HashMap<>();
 
         @Override
         public CompletableFuture<OrderOutcome> start(StartOrder order, long fence) {
             starts.add(order);
             running.put(
-                    order.worker().id(),
-                    List.of(new RunningReport(order.jobId(), order.task(), order.run(), "", 50, -1)));
+                    order.worker().id(), List.of(new RunStatus(order.jobId(), order.task(), order.run(), "", 50, -1)));
             return CompletableFuture.completedFuture(OrderOutcome.ACCEPTED);
         }
 
@@ -103,7 +102,7 @@
                     20,
                     () -> r.complete(new HoldResult(
                             OrderOutcome.ACCEPTED,
-                            new HoldAnswer(
+                            new HoldResponse(
                                     100_000 + loop.clock().millis(),
                                     running.getOrDefault(w, List.of()),
                                     ended.getOrDefault(w, List.of())))));
@@ -112,7 +111,7 @@
 
         void ends(String worker, String job) {
             running.remove(worker);
-            ended.put(worker, List.of(new EndReport(1, job, FIRST, 1, EndKind.DONE, "")));
+            ended.put(worker, List.of(new RunResult(1, job, FIRST, 1, EndKind.DONE, "")));
         }
     }
 
--- a/model/src/main/java/org/lupinpaddle/model/Rules.java
+++ b/model/src/main/java/org/lupinpaddle/model/Rules.java
@@ -28,7 +28,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.Submission;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.run.EndReport;
+import org.lupinpaddle.core.run.RunResult;
 import org.lupinpaddle.core.run.StartOrder;
 
 /** Holds what workers and callers see against the rules, and ends a history at the first that is broken. */
@@ -374,7 +374,7 @@
     }
 
     /** A worker has been told to forget an end: that notes it, unless the worker's lease has lapsed since the end. */
-    void noted(SimWorker w, EndReport end, boolean lapsedSince) {
+    void noted(SimWorker w, RunResult end, boolean lapsedSince) {
         JobTruth job = jobs.get(end.jobId());
         if (job == null) {
             return;
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.fleet.PlatformInstance.State;
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
 /** The instances with the workers that live on them, and the platform's orders on instances. */
@@ -281,7 +281,7 @@
     }
 
     /** Returns the runs that an instance's worker shows. */
-    List<RunningReport> tasksOn(String instance) {
+    List<RunStatus> tasksOn(String instance) {
         Machine m = machines.get(instance);
         return m == null || m.worker == null ? List.of() : m.worker.running();
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimWorker.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorker.java
@@ -30,11 +30,11 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
-import org.lupinpaddle.core.run.EndReport;
-import org.lupinpaddle.core.run.HoldAnswer;
 import org.lupinpaddle.core.run.HoldOrder;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunResult;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
 
@@ -72,7 +72,7 @@
 
     private record Name(String job, TaskId task) {}
 
-    private record Ended(EndReport report, int lapsesBefore, SimEnd truth) {}
+    private record Ended(RunResult report, int lapsesBefore, SimEnd truth) {}
 
     private static final class Running {
         final int run;
@@ -259,7 +259,7 @@
         if (kind == EndKind.DONE) {
             rules.done(n.job, n.task, truth);
         }
-        ends.add(new Ended(new EndReport(nextEnd++, n.job, n.task, r.run, kind, ""), lapses, truth));
+        ends.add(new Ended(new RunResult(nextEnd++, n.job, n.task, r.run, kind, ""), lapses, truth));
         List<Runnable> waiting = List.copyOf(holds);
         holds.clear();
         waiting.forEach(Runnable::run);
@@ -299,7 +299,7 @@
     }
 
     /** Answers a hold at once, or when something ends, or when its time is up. */
-    void hold(HoldOrder o, long byFence, Consumer<HoldAnswer> answer, Runnable fenced) {
+    void hold(HoldOrder o, long byFence, Consumer<HoldResponse> answer, Runnable fenced) {
         if (byFence < fence) {
             fenced.run();
             return;
@@ -345,10 +345,10 @@
         return time.now() - firstAnswerAt >= millis;
     }
 
-    private HoldAnswer answer() {
+    private HoldResponse answer() {
         firstAnswerAt = Math.min(firstAnswerAt, time.now());
         ends.forEach(e -> e.truth.listed(time.now()));
-        return new HoldAnswer(
+        return new HoldResponse(
                 facts.bornMillis(),
                 clock(),
                 running(),
@@ -356,9 +356,9 @@
     }
 
     /** Returns the runs as an answer to a hold shows them. */
-    List<RunningReport> running() {
-        List<RunningReport> all = new ArrayList<>();
-        running.forEach((n, r) -> all.add(new RunningReport(n.job, n.task, r.run, "", percent(r), -1)));
+    List<RunStatus> running() {
+        List<RunStatus> all = new ArrayList<>();
+        running.forEach((n, r) -> all.add(new RunStatus(n.job, n.task, r.run, "", percent(r), -1)));
         return all;
     }
 
--- a/model/src/main/java/org/lupinpaddle/model/WireBytes.java
+++ b/model/src/main/java/org/lupinpaddle/model/WireBytes.java
@@ -17,7 +17,7 @@
 
 import java.util.Collection;
 import org.lupinpaddle.core.fleet.PlatformInstance;
-import org.lupinpaddle.core.run.HoldAnswer;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.daemon.port.CommitResult;
 import org.lupinpaddle.daemon.port.HoldResult;
@@ -77,7 +77,7 @@
     }
 
     static long of(HoldResult r) {
-        HoldAnswer a = r.answer();
+        HoldResponse a = r.answer();
         return FRAME + (a == null ? 0 : RUN * (a.running().size() + a.ended().size()));
     }
 
