--- a/core/src/test/java/org/lupinpaddle/core/run/CrashingTaskTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/CrashingTaskTest.java
@@ -30,42 +30,40 @@
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
- * A job is handed in whose only task crashes each worker that starts it. Operators see one worker after another stop
- * answering, one every few seconds; the task's runs are numbered up to 24 and beyond, each on another worker and gone with it
- * within 10 ms; what runs beside it is lost each time, and the caller never hears that the job can not be done.
- *
- * <p>A run that is lost with its worker used up no attempt, and nothing else counted it, neither at the owner nor in the record of
- * the task. What proved that: one owner alone started run after run, so no hand-over was needed; with the count written before
- * each start, five starts are never passed under one owner or under forty that follow one another.
+ * Guards against restarting a task without limit that crashes every worker that runs it. A run lost with its worker
+ * used up no attempt and was counted neither by the owner nor in the task's record. One owner alone started run after
+ * run, more than 24, each on another worker that was gone within 10 ms; the tasks beside it were lost each time, and
+ * the caller never learned that the job cannot complete. With the count saved before each start, there are never more
+ * than five starts under one owner or under forty consecutive ones.
  */
 class CrashingTaskTest {
 
-    /** So many starts may follow after three workers have crashed under a task. */
-    private static final int MOST_STARTS_AFTER_THIRD_CRASH = 2;
+    /** The number of starts allowed after three workers have crashed while running a task. */
+    private static final int MAX_STARTS_AFTER_THIRD_CRASH = 2;
 
-    private static final int CRASHES_THAT_TELL = 3;
-    private static final int MOST_STARTS = CRASHES_THAT_TELL + MOST_STARTS_AFTER_THIRD_CRASH;
+    private static final int CRASHES_UNTIL_SUSPECT_IS_CERTAIN = 3;
+    private static final int MAX_STARTS = CRASHES_UNTIL_SUSPECT_IS_CERTAIN + MAX_STARTS_AFTER_THIRD_CRASH;
     private static final int ROUNDS = 40;
     private static final long SILENT_MILLIS = 2_800;
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
 
-    /** Three addresses whose workers crash as soon as they start the task, and are back at once with another id. */
-    private static final class CrashingWorld {
+    /** Three addresses whose workers crash as soon as they start the task and return at once with another id. */
+    private static final class CrashSimulation {
         SchedulerDriver d = new SchedulerDriver();
-        private final Map<String, String> lives = new LinkedHashMap<>();
-        private final Map<String, Integer> born = new HashMap<>();
-        private JobProgress written = JobProgress.none(0);
+        private final Map<String, String> currentIds = new LinkedHashMap<>();
+        private final Map<String, Integer> createdByAddress = new HashMap<>();
+        private JobProgress savedProgress = JobProgress.none(0);
         private long now;
         int starts;
 
-        CrashingWorld() {
-            List.of("a", "b", "c").forEach(this::bear);
+        CrashSimulation() {
+            List.of("a", "b", "c").forEach(this::createWorker);
             begin();
         }
 
-        private void bear(String address) {
-            lives.put(address, address + born.merge(address, 1, Integer::sum));
+        private void createWorker(String address) {
+            currentIds.put(address, address + createdByAddress.merge(address, 1, Integer::sum));
         }
 
         private void begin() {
@@ -76,33 +74,33 @@
 
         private void answer() {
             d.advance(10);
-            lives.values().forEach(w -> d.answerHold(w, List.of(), List.of()));
+            currentIds.values().forEach(w -> d.answerHold(w, List.of(), List.of()));
         }
 
         private void list() {
             d.scheduler.onWorkers(
-                    lives.values().stream().map(CrashingWorld::facts).toList());
+                    currentIds.values().stream().map(CrashSimulation::facts).toList());
         }
 
         private static WorkerFacts facts(String id) {
             return SchedulerDriver.worker(id);
         }
 
-        /** Lets a further owner follow that knows what has been written, and what the platform lists. */
+        /** Switches to a new owner that knows the saved progress and the platform's list. */
         void nextOwner() {
             now = d.now;
             d = new SchedulerDriver();
             begin();
-            d.submit("guilty", written, ONE);
+            d.submit("guilty", savedProgress, ONE);
             d.advance(SILENT_MILLIS);
             answer();
-            d.scheduler.onRunningWorkers(Set.copyOf(lives.values()), d.now);
+            d.scheduler.onRunningWorkers(Set.copyOf(currentIds.values()), d.now);
             d.advance(10);
         }
 
-        /** Writes what is to be written, and lets each start crash its worker. */
+        /** Saves all pending progress and makes each start crash its worker. */
         void round() {
-            d.port.saves.forEach(batch -> batch.forEach(s -> written = s.progress()));
+            d.port.saves.forEach(batch -> batch.forEach(s -> savedProgress = s.progress()));
             d.completeSaves();
             List<StartOrder> sent = List.copyOf(d.port.starts);
             d.port.starts.clear();
@@ -114,7 +112,7 @@
             starts++;
             String id = s.worker().id();
             d.scheduler.onStarted(s, OrderOutcome.ACCEPTED);
-            bear(id.substring(0, 1));
+            createWorker(id.substring(0, 1));
             list();
             d.answerAsOtherIncarnation(id);
             answer();
@@ -128,38 +126,38 @@
     }
 
     @Nested
-    class UnderOneOwner {
+    class ATaskUnderOneOwner {
 
         @Test
-        void isNotStartedThreeTimesMoreAfterThreeWorkersHaveCrashed() {
-            CrashingWorld w = new CrashingWorld();
+        void isStartedAtMostTwiceAfterThreeCrashes() {
+            CrashSimulation w = new CrashSimulation();
             w.d.submit("guilty", ONE);
             w.rounds(ROUNDS);
-            assertTrue(w.starts <= MOST_STARTS, w.starts + " starts");
+            assertTrue(w.starts <= MAX_STARTS, w.starts + " starts");
         }
 
         @Test
-        void isGivenUpAndItsCallerHears() {
-            CrashingWorld w = new CrashingWorld();
+        void failsItsJob() {
+            CrashSimulation w = new CrashSimulation();
             w.d.submit("guilty", ONE);
             w.rounds(ROUNDS);
-            assertTrue(w.written.state() == JobState.FAILED, "the caller is told " + w.written.state());
+            assertTrue(w.savedProgress.state() == JobState.FAILED, "the caller is told " + w.savedProgress.state());
         }
     }
 
     @Nested
-    class UnderOwnersThatFollowOneAnother {
+    class ATaskUnderConsecutiveOwners {
 
-        /** What an owner has counted must outlast it. */
+        /** The crash count must survive a change of owner. */
         @Test
-        void isNotStartedThreeTimesMoreAfterThreeWorkersHaveCrashed() {
-            CrashingWorld w = new CrashingWorld();
+        void isStartedAtMostTwiceAfterThreeCrashes() {
+            CrashSimulation w = new CrashSimulation();
             w.d.submit("guilty", ONE);
             for (int i = 0; i < ROUNDS; i++) {
                 w.round();
                 w.nextOwner();
             }
-            assertTrue(w.starts <= MOST_STARTS, w.starts + " starts");
+            assertTrue(w.starts <= MAX_STARTS, w.starts + " starts");
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/DrainingWorkerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/DrainingWorkerTest.java
@@ -27,14 +27,14 @@
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
- * A worker gives 2 s notice and leaves. One of its tasks ends, and the write of that gets no answer for a second. The owner used
- * not to ask the worker again meanwhile, since it would list the same end again; what ended in that second went with the worker
- * and was run again. In the log the last line of such a run is its {@code START_ANSWERED}; {@code WORKER_GONE} stands less than
- * a second after another run's {@code RUN_ENDED} there.
+ * Guards against losing results of a worker that leaves with 2 s notice. The owner did not poll the worker while the
+ * write of an earlier result was unanswered, because the worker would list the same result again; runs that ended in
+ * that second were lost with the worker and repeated. In the log the last line of such a run is its {@code
+ * START_ANSWERED}; {@code WORKER_GONE} follows less than a second after another run's {@code RUN_ENDED} there.
  */
 class DrainingWorkerTest {
 
-    /** What a worker has listed for this long counts as known to its owner. */
+    /** A result that a worker has listed for this long counts as known to its owner. */
     private static final long KNOWN_MILLIS = 100;
 
     private static final StepSpec TWO =
@@ -42,7 +42,7 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private static WorkerFacts leaving(String id) {
+    private static WorkerFacts draining(String id) {
         return new WorkerFacts(id, "clips", "at-" + id, "north", true, 2_000, new Room(4_000, 8_000, 0), List.of("r"));
     }
 
@@ -50,7 +50,7 @@
         return new RunResult(number, "a", new TaskId(0, 0, index), 1, EndKind.DONE, "");
     }
 
-    private void twoRunOnTheWorker() {
+    private void startTwoTasksOnTheWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", TWO);
@@ -60,18 +60,18 @@
         d.advance(100);
     }
 
-    private void oneHasEndedAndItsWriteHasNoAnswer() {
+    private void endOneTaskWithoutSaving() {
         d.answerHold("w1", List.of(new RunStatus("a", new TaskId(0, 0, 1), 1, "", 50, -1)), List.of(done(1, 0)));
     }
 
     @Test
-    void isAskedAgainWhileItsEndsAreBeingWritten() {
-        twoRunOnTheWorker();
-        d.scheduler.onWorkers(List.of(leaving("w1")));
-        oneHasEndedAndItsWriteHasNoAnswer();
+    void isPolledWhileItsResultsAreBeingSaved() {
+        startTwoTasksOnTheWorker();
+        d.scheduler.onWorkers(List.of(draining("w1")));
+        endOneTaskWithoutSaving();
         int asked = d.port.holds.size();
         d.advance(KNOWN_MILLIS);
-        assertTrue(d.port.holds.size() > asked, "the other task may end, and its worker be gone");
+        assertTrue(d.port.holds.size() > asked, "the other task may end and its worker may be gone");
     }
 
     /** Guards against repeating an unanswered start after its worker has reported that it is draining. */
@@ -83,7 +83,7 @@
         d.completeSaves();
         List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.UNKNOWN));
         int sent = d.port.starts.size();
-        d.scheduler.onWorkers(List.of(leaving("w1")));
+        d.scheduler.onWorkers(List.of(draining("w1")));
         for (int i = 0; i < 20; i++) {
             d.advance(100);
         }
@@ -97,18 +97,21 @@
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", TWO);
-        d.scheduler.onWorkers(List.of(leaving("w1")));
+        d.scheduler.onWorkers(List.of(draining("w1")));
         d.completeSaves();
         d.advance(100);
         assertEquals(0, d.port.starts.size());
         assertEquals(0, d.port.stops.size());
     }
 
-    /** Such a look is a call to the worker and gives nothing new as a rule: one that stays lists its ends again. */
+    /**
+     * An additional poll is a call to the worker that usually returns nothing new: a worker that stays lists its
+     * results again.
+     */
     @Test
-    void isTheOnlyOneThatIs() {
-        twoRunOnTheWorker();
-        oneHasEndedAndItsWriteHasNoAnswer();
+    void otherWorkersAreNotPolledWhileTheirResultsAreBeingSaved() {
+        startTwoTasksOnTheWorker();
+        endOneTaskWithoutSaving();
         int asked = d.port.holds.size();
         d.advance(5 * KNOWN_MILLIS);
         assertEquals(asked, d.port.holds.size());
--- a/core/src/test/java/org/lupinpaddle/core/run/EvacuationRaceTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/EvacuationRaceTest.java
@@ -25,7 +25,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 
-/** What is under way when a worker is to be emptied, or is taken to be over. */
+/** Tests orders and answers that are in flight when a worker is evacuated or declared lost. */
 class EvacuationRaceTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -34,9 +34,9 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    /** The answer was on its way, or waited in the owner's queue, when the owner took the worker to be over. */
+    /** The answer was in flight, or queued at the owner, when the owner declared the worker lost. */
     @Test
-    void anEndThatArrivesAfterItsWorkerWasTakenToBeOverIsTakenIn() {
+    void resultThatArrivesAfterItsWorkerWasDeclaredLostIsProcessed() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", ONE);
@@ -51,7 +51,7 @@
         d.scheduler.onRunningWorkers(Set.of("w2"), d.now);
         d.advance(10);
         d.completeSaves();
-        assertEquals(0, d.scheduler.load().running(), "it is taken to be over");
+        assertEquals(0, d.scheduler.load().running(), "the worker is declared lost");
         RunResult done = new RunResult(1, "a", FIRST, 1, EndKind.DONE, "half");
         d.scheduler.onHoldAnswered(asked, sentAt, new HoldResponse(101_000, List.of(), List.of(done)));
         d.answerHold("w2", List.of(), List.of());
@@ -59,12 +59,12 @@
         d.completeSaves();
         d.advance(100);
         d.completeSaves();
-        assertEquals(1, d.port.starts.size(), "its owner has been told that it is done");
+        assertEquals(1, d.port.starts.size(), "the owner knows that the task is done");
     }
 
-    /** Stopped for nothing: the worker stays anyway, and what is late begins anew elsewhere. */
+    /** A stop would be useless: the worker stays anyway, and the late task would start again elsewhere. */
     @Test
-    void whatIsLateIsNotStoppedWhileItsWorkerCanNotGoAnyway() {
+    void lateTaskIsNotStoppedWhileAnotherTaskKeepsItsWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit(
@@ -84,24 +84,24 @@
         d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
         d.advance(10);
         assertTrue(d.port.emptied.isEmpty());
-        assertTrue(d.port.stops.isEmpty(), "the other task keeps the worker for a minute, and is not stopped");
+        assertTrue(d.port.stops.isEmpty(), "the other task keeps the worker for a minute and is not stopped");
     }
 
-    /** A stop costs what was done; what has not begun yet costs nothing. */
+    /** A stop discards progress, while a task that has not started loses nothing. */
     @Test
-    void whatIsPlacedOnAWorkerThatIsToBeEmptiedIsNotStartedThere() {
+    void placedTaskIsNotStartedOnAnEvacuatingWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", ONE);
         d.scheduler.onEvacuations(Set.of("w1"), Set.of());
         d.advance(50);
         d.completeSaves();
-        assertTrue(d.port.starts.isEmpty(), "its choice of worker was still being written");
+        assertTrue(d.port.starts.isEmpty(), "its placement was still being saved");
     }
 
-    /** Another worker could take the task at once. */
+    /** Another worker could run the task at once. */
     @Test
-    void aListOfInstancesThatWasAskedForBeforeTheLastAnswerProvesNothing() {
+    void listOfInstancesRequestedBeforeTheLastAnswerProvesNothing() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", ONE);
@@ -122,9 +122,9 @@
         assertEquals(1, d.port.starts.size());
     }
 
-    /** The test that was replaced said so of a worker that is called empty; of a stop none says it. */
+    /** The test that this one replaces checked this for a worker reported as empty, but not for stops. */
     @Test
-    void whatCanStillEndInTimeAndGoesOnNowhereIsNotStopped() {
+    void onTimeTaskThatCannotResumeElsewhereIsNotStopped() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit(
@@ -134,6 +134,6 @@
         d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
         d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
         d.advance(100);
-        assertTrue(d.port.stops.isEmpty(), "its work would be lost");
+        assertTrue(d.port.stops.isEmpty(), "its progress would be lost");
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** Emptying workers takes no more away than callers allow, and is said to be done only when it is. */
+/** Evacuation respects the callers' limits on unavailable tasks and is reported only when it is complete. */
 class EvacuatorTest {
 
     private static final StepSpec ONE =
@@ -43,13 +43,13 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     @Nested
-    class Emptying {
+    class AnEvacuation {
 
         private RunStatus atWork(int index, int run, int percent) {
             return new RunStatus("a", new TaskId(0, 0, index), run, "", percent, -1);
         }
 
-        private void threeAtWork() {
+        private void startThreeServingTasks() {
             d.listWorkers("w1", "w2", "w3", "w4", "w5");
             for (String w : List.of("w1", "w2", "w3", "w4", "w5")) {
                 d.answerHold(w, List.of(), List.of());
@@ -63,7 +63,7 @@
             }
         }
 
-        private void aTaskOfASecondRuns() {
+        private void startATaskOfOneSecond() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit(
@@ -76,8 +76,8 @@
         }
 
         @Test
-        void movesNoMoreOfAStepThanItsCallerAllows() {
-            threeAtWork();
+        void respectsTheLimitOnUnavailableTasks() {
+            startThreeServingTasks();
             Set<String> two = Set.of(
                     d.port.starts.get(0).worker().id(),
                     d.port.starts.get(1).worker().id());
@@ -87,8 +87,8 @@
         }
 
         @Test
-        void movesNothingWhileAnotherTasksWorkerIsSilent() {
-            threeAtWork();
+        void movesNoTaskWhileTheWorkerOfAnotherTaskIsSilent() {
+            startThreeServingTasks();
             d.advance(1_400);
             StartOrder leaving = d.port.starts.get(0);
             StartOrder heard = d.port.starts.get(1);
@@ -97,12 +97,12 @@
             d.advance(200);
             d.scheduler.onEvacuations(Set.of(leaving.worker().id()), Set.of());
             d.scheduler.tick();
-            assertTrue(d.port.stops.isEmpty(), "the third task may be gone with its worker");
+            assertTrue(d.port.stops.isEmpty(), "the third task may be lost with its worker");
         }
 
-        /** A stop may take most of a second; until it ends, what it stops still looks as if it were at work to a new owner. */
+        /** A stop may take most of a second; until it ends, the stopped task still looks ready to a new owner. */
         @Test
-        void movesNothingWhileAnEarlierOwnersStopMayBeAtWork() {
+        void movesNoTaskWhileAStopOfAnEarlierOwnerMayBeInProgress() {
             d.listWorkers("w1", "w2", "w3");
             List<TaskRecord> placed = List.of(
                     new TaskRecord(0, 0, 0, 1, 0, false, "w1", ""), new TaskRecord(0, 0, 1, 1, 0, false, "w2", ""));
@@ -115,33 +115,33 @@
             d.answerHold("w3", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.advance(SchedulerDriver.STOP_MILLIS);
-            assertTrue(d.port.stops.isEmpty(), "the other task may be about to end by the earlier owner's order");
+            assertTrue(d.port.stops.isEmpty(), "the earlier owner's stop may be about to end the other task");
             d.advance(1);
             assertEquals(1, d.port.stops.size());
         }
 
         /**
-         * A task ended done 0.3 s after its owner had heard of its first checkpoint, and 4.9 s later the same owner started
-         * it again from there. Its worker had been called empty while late tasks were at work on it: its instance was
-         * ordered away, and the end was told in an answer that never arrived.
+         * Guards against taking an instance away while late tasks run on its worker. The worker was reported as
+         * empty, and the answer with a completed run was lost with the instance: 0.3 s after its first checkpoint the
+         * task completed, and 4.9 s later the owner restarted it from that checkpoint.
          */
         @Test
-        void thatIsUrgentStopsWhatIsLateAndWaitsForItsEnd() {
-            aTaskOfASecondRuns();
+        void thatIsUrgentStopsLateTasksAndWaitsForTheirEnd() {
+            startATaskOfOneSecond();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
             d.advance(1_600);
-            assertTrue(d.port.emptied.isEmpty(), "what ends there now could not be told any more");
-            assertEquals(1, d.port.stops.size(), "it is late, and other work waits for the instance");
+            assertTrue(d.port.emptied.isEmpty(), "a run that ends now could not be reported any more");
+            assertEquals(1, d.port.stops.size(), "the task is late, and other work waits for the instance");
             d.scheduler.onStopped(d.port.stops.get(0), OrderOutcome.ACCEPTED);
             d.answerHold("w1", List.of(), List.of(done()));
             d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
-            assertEquals(1, d.port.starts.size(), "it ended done before the stop");
+            assertEquals(1, d.port.starts.size(), "the task was done before the stop");
         }
 
         @Test
-        void thatIsNotUrgentLetsTasksEndWhereTheyAre() {
-            aTaskOfASecondRuns();
+        void thatIsNotUrgentLetsTasksFinishInPlace() {
+            startATaskOfOneSecond();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.advance(1_600);
             assertTrue(d.port.emptied.isEmpty());
@@ -151,22 +151,22 @@
             return new RunResult(1, "a", new TaskId(0, 0, 0), 1, EndKind.DONE, "");
         }
 
-        /** Until a record says so, only the worker can tell the next owner that the task is done. */
+        /** Until the record is saved, only the worker can tell the next owner that the task is done. */
         @Test
-        void isNotToldBeforeEndsThatTheWorkerToldAreDurable() {
-            aTaskOfASecondRuns();
+        void isNotReportedBeforeTheResultsAreDurable() {
+            startATaskOfOneSecond();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.advance(100);
             d.answerHold("w1", List.of(), List.of(done()));
             d.advance(100);
-            assertTrue(d.port.emptied.isEmpty(), "the next owner would find a run on a worker that is gone");
+            assertTrue(d.port.emptied.isEmpty(), "the next owner would see a run on a worker that is gone");
             d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
         }
 
         @Test
-        void thatIsUrgentWaitsForSuchEndsToo() {
-            aTaskOfASecondRuns();
+        void thatIsUrgentWaitsForDurableResultsToo() {
+            startATaskOfOneSecond();
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
             d.advance(100);
             d.answerHold("w1", List.of(), List.of(done()));
@@ -177,7 +177,7 @@
         }
 
         @Test
-        void isToldWhenNothingIsLeft() {
+        void isReportedWhenNoTaskIsLeft() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
@@ -186,26 +186,29 @@
         }
 
         @Test
-        void thatIsOverAsksForAnAnswerBeforeNewTasks() {
+        void thatEndsRequiresAnAnswerBeforeNewTasks() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.scheduler.onEvacuations(Set.of(), Set.of());
             d.submit("a", ONE);
             d.completeSaves();
-            assertTrue(d.port.starts.isEmpty(), "its instance may have been ordered away meanwhile");
+            assertTrue(d.port.starts.isEmpty(), "its instance may have been taken away meanwhile");
         }
     }
 
-    /** Some workers never say that they drain: their entry goes, and they serve on for some seconds before they end. */
+    /**
+     * Some workers never announce that they drain: their entry disappears, and they continue for some seconds before
+     * they end.
+     */
     @Nested
-    class AWorkerWhoseEntryHasGone {
+    class AWorkerWithoutAnEntry {
 
         private static final long RETURN_MILLIS = 2_000;
 
         private String leaving = "";
 
-        private void oneOfThreeIsUnlisted() {
+        private void unlistOneOfThree() {
             d.listWorkers("w1", "w2", "w3", "w4", "w5");
             answerAll();
             d.submit("a", THREE_LASTING);
@@ -234,11 +237,11 @@
         }
 
         @Test
-        void isEmptiedOfWhatLastsBeforeItEnds() {
-            oneOfThreeIsUnlisted();
+        void losesItsLongRunningTasksBeforeItEnds() {
+            unlistOneOfThree();
             d.advance(RETURN_MILLIS);
             answerAll();
-            assertTrue(d.port.stops.isEmpty(), "its entry may have lapsed, and be back");
+            assertTrue(d.port.stops.isEmpty(), "its entry may have lapsed and be back soon");
             d.advance(1);
             assertEquals(
                     List.of(leaving),
@@ -246,8 +249,8 @@
         }
 
         @Test
-        void thatComesBackIsLeftAlone() {
-            oneOfThreeIsUnlisted();
+        void thatReturnsKeepsItsTasks() {
+            unlistOneOfThree();
             d.advance(RETURN_MILLIS);
             listAllBut("");
             answerAll();
@@ -256,15 +259,15 @@
         }
 
         @Test
-        void isLeftAloneWhileTheListMayBeOld() {
-            oneOfThreeIsUnlisted();
+        void keepsItsTasksWhileTheListMayBeStale() {
+            unlistOneOfThree();
             answerAll();
             d.now += RETURN_MILLIS + 1;
-            answerWithoutNews();
-            assertTrue(d.port.stops.isEmpty(), "nobody has looked for its entry since");
+            answerWithStaleList();
+            assertTrue(d.port.stops.isEmpty(), "the list has not been confirmed since");
         }
 
-        private void answerWithoutNews() {
+        private void answerWithStaleList() {
             HoldOrder last = d.port.holds.stream()
                     .filter(h -> h.worker().id().equals(leaving))
                     .reduce((a, b) -> b)
--- a/core/src/test/java/org/lupinpaddle/core/run/FakeSchedulerPort.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/FakeSchedulerPort.java
@@ -18,7 +18,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Keeps what a scheduler asks for. */
+/** Records the calls of a scheduler. */
 final class FakeSchedulerPort implements SchedulerPort {
 
     final List<StartOrder> starts = new ArrayList<>();
--- a/core/src/test/java/org/lupinpaddle/core/run/GangPlacementTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/GangPlacementTest.java
@@ -21,13 +21,13 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.StepSpec;
 
-/** Members of a gang run together or not at all, also when one of them is not to be started where it was placed. */
+/** Members of a gang run together or not at all, even if one of them cannot be started where it was placed. */
 class GangPlacementTest {
 
     private final SchedulerDriver d = new SchedulerDriver();
 
     @Test
-    void theOthersAreNotStartedAlone() {
+    void otherMembersAreNotStartedAlone() {
         d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
         StepSpec gang = StepSpec.builder(2, new StepSpec.Need(4_000, 100, 0))
                 .gang(true, false)
@@ -40,6 +40,6 @@
             d.completeSaves();
             d.advance(50);
         }
-        assertNotEquals(1, d.port.starts.size(), "the other has no worker: this one waits for it, and ends alone");
+        assertNotEquals(1, d.port.starts.size(), "the other member has no worker, so this one would run alone");
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
@@ -27,7 +27,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 
-/** Tasks that can work only together. */
+/** Tests gangs, whose tasks can run only together. */
 class GangTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -46,7 +46,7 @@
         return d.port.starts.stream().map(s -> s.worker().id()).collect(Collectors.toSet());
     }
 
-    private void bothRun() {
+    private void acceptBothStarts() {
         d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
         d.submit("a", gang(2, 4_000, false));
         d.completeSaves();
@@ -70,7 +70,7 @@
     class Members {
 
         @Test
-        void startNowhereUntilThereIsRoomForAll() {
+        void areNotStartedUntilThereIsRoomForAll() {
             d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"));
             d.submit("a", gang(2, 4_000, false));
             assertTrue(d.port.saves.isEmpty());
@@ -80,8 +80,8 @@
         }
 
         @Test
-        void shareTheNumberOfTheirRunAndACheckpoint() {
-            bothRun();
+        void shareTheRunNumberAndTheCheckpoint() {
+            acceptBothStarts();
             assertEquals(startOf(FIRST).run(), startOf(SECOND).run());
             ends(FIRST, EndKind.FAILED, "saved-1");
             assertEquals(1, d.port.stops.size(), "the other member is stopped");
@@ -102,32 +102,32 @@
         }
 
         @Test
-        void areAllDoneWhenOneEndsDone() {
-            bothRun();
+        void areAllDoneWhenOneIsDone() {
+            acceptBothStarts();
             ends(FIRST, EndKind.DONE, "");
             d.completeSaves();
             d.advance(50);
-            assertEquals(1, d.port.stops.size(), "whatever the other still does is ended");
+            assertEquals(1, d.port.stops.size(), "the other member is stopped");
             assertEquals(2, d.port.starts.size());
         }
 
         @Test
-        void areStoppedWhenAWorkerRefusesOne() {
+        void areStoppedWhenAWorkerRejectsOne() {
             d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
             d.submit("a", gang(2, 4_000, false));
             d.completeSaves();
             d.scheduler.onStarted(d.port.starts.get(0), OrderOutcome.ACCEPTED);
             d.scheduler.onStarted(d.port.starts.get(1), OrderOutcome.NO_ROOM);
             d.advance(0);
-            assertEquals(1, d.port.stops.size(), "it would wait alone");
+            assertEquals(1, d.port.stops.size(), "the other member would wait alone");
         }
     }
 
     @Nested
-    class OnOneRack {
+    class RackLocalMembers {
 
         @Test
-        void theyAreTogetherIfARackHasRoom() {
+        void shareARackIfOneHasRoom() {
             d.listAndAnswer(
                     SchedulerDriver.workerOnRack("w1", "r1"),
                     SchedulerDriver.workerOnRack("w2", "r2"),
@@ -138,7 +138,7 @@
         }
 
         @Test
-        void theyStartApartRatherThanNot() {
+        void areStartedOnDifferentRacksOtherwise() {
             d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"), SchedulerDriver.workerOnRack("w2", "r2"));
             d.submit("a", gang(2, 4_000, true));
             d.completeSaves();
--- a/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
@@ -29,14 +29,15 @@
 import org.lupinpaddle.core.job.TaskRecord;
 
 /**
- * An accepted job is given up 0.4 s after its begin though a good worker stands by. One of its tasks fails by chance on the good
- * worker; its second and third attempts go at once to two workers that fail everything, of which nobody knows yet: the owner is
- * new, and three pieces of evidence against a worker take longer to gather than three attempts of one task. The log shows three
- * {@code RUN_ENDED} with {@code FAILED} on three workers within 220 ms, no {@code WORKER_AVOIDED}, then {@code JOB_ENDED}.
+ * Guards against failing a job within 0.4 s of its start although a healthy worker is available. One task fails by
+ * chance on the healthy worker, and its second and third attempts go at once to two workers that fail everything. A
+ * new owner does not know that yet: three pieces of evidence against a worker take longer to collect than three
+ * attempts of one task. The log shows three {@code RUN_ENDED} with {@code FAILED} on three workers within 220 ms and
+ * no {@code WORKER_AVOIDED}, then {@code JOB_ENDED}.
  */
 class LastAttemptTest {
 
-    /** A job must not have nothing at work for longer, while there is room. */
+    /** The longest time for which a job may have nothing running while there is room. */
     private static final long NOTHING_AT_WORK_MILLIS = 3_000;
 
     private static final StepSpec TWO =
@@ -56,7 +57,7 @@
         List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
-    /** Lets the newest run of a task fail; returns on which worker. */
+    /** Makes the newest run of a task fail and returns its worker. */
     private String fails(TaskId t, long number, RunStatus... others) {
         StartOrder s = startOf(t);
         RunResult e = new RunResult(number, "a", t, s.run(), EndKind.FAILED, "");
@@ -71,7 +72,7 @@
         return new TaskId(0, 0, index);
     }
 
-    private void twoAttemptsOfTheFirstTaskFail() {
+    private void failTwoAttemptsOfTheFirstTask() {
         d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
             d.answerHold(w, List.of(), List.of());
@@ -85,16 +86,16 @@
     }
 
     @Test
-    void waitsForAWorkerOnWhichSomethingHasEndedWell() {
-        twoAttemptsOfTheFirstTaskFail();
+    void waitsForAWorkerWithASuccessfulRun() {
+        failTwoAttemptsOfTheFirstTask();
         d.advance(1_000);
-        assertEquals(2, startOf(task(0)).run(), "nothing speaks for the third worker yet");
+        assertEquals(2, startOf(task(0)).run(), "no run has succeeded on the third worker yet");
     }
 
-    /** What has failed on the good worker by chance goes well there, and other work does too. */
+    /** The task failed on the healthy worker by chance; it and other tasks succeed there. */
     @Test
-    void goesToTheWorkerThatHasDoneWellSinceAlsoIfItFailedThereBefore() {
-        twoAttemptsOfTheFirstTaskFail();
+    void acceptsAWorkerThatHasSucceededSinceTheTaskFailedThere() {
+        failTwoAttemptsOfTheFirstTask();
         StartOrder second = startOf(task(1));
         d.advance(500);
         d.answerHold(
@@ -108,10 +109,10 @@
         assertEquals(second.worker(), startOf(task(0)).worker());
     }
 
-    /** Where nothing ends well anywhere, a job that can not be done gets its answer all the same. */
+    /** If nothing succeeds anywhere, an impossible job must still be reported as failed. */
     @Test
-    void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
-        twoAttemptsOfTheFirstTaskFail();
+    void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
+        failTwoAttemptsOfTheFirstTask();
         for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
             d.advance(250);
             for (String w : List.of("w1", "w2", "w3")) {
@@ -124,9 +125,9 @@
         assertTrue(startOf(task(0)).run() == 3, "the third attempt has been made");
     }
 
-    /** Its caller had better hear soon that it can not be done: it fails where others end well. */
+    /** The caller should learn soon that the job fails where others succeed. */
     @Test
-    void isMadeAtOnceForWhatHasFailedOnAProvenWorker() {
+    void isNotDelayedAfterAFailureOnAProvenWorker() {
         d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
             d.answerHold(w, List.of(), List.of());
@@ -147,9 +148,10 @@
     }
 
     /**
-     * Two attempts fail under one owner, one of them on a worker that fails everything; all entries lose power; the next owner
-     * sends the third to that worker at once, since it knows nothing of it. The log shows {@code TASK_PLACED} with two attempts a
-     * millisecond after {@code JOB_TAKEN}, while ends of the same answer show which worker does well.
+     * Guards against sending the last attempt at once to a faulty worker after a change of owner. Two attempts fail
+     * under one owner, one of them on a worker that fails everything; after a power failure of all entries the next
+     * owner does not know about that worker. The log shows {@code TASK_PLACED} with two attempts a millisecond after
+     * {@code JOB_TAKEN}, while results in the same answer show which worker is healthy.
      */
     @Nested
     class UnderANewOwner {
@@ -168,16 +170,16 @@
         }
 
         @Test
-        void waitsForAWorkerOnWhichSomethingHasEndedWell() {
+        void waitsForAWorkerWithASuccessfulRun() {
             takesOver();
-            assertTrue(d.port.starts.isEmpty(), "nothing speaks for the first worker yet");
+            assertTrue(d.port.starts.isEmpty(), "no run has succeeded on the first worker yet");
             d.answerHold("w2", List.of(), List.of(new RunResult(1, "a", task(1), 1, EndKind.DONE, "")));
             d.completeSaves();
             assertEquals("w2", d.lastStart().worker().id());
         }
 
         @Test
-        void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
+        void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
             takesOver();
             for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
                 d.advance(250);
--- a/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
@@ -36,9 +36,9 @@
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
- * What the owner of a large service spends on deciding, in processor time, on virtual time: a queue asks for more than
- * the workers carry, then for as much as they carry, then for nothing. The last line is a hash over all that was asked
- * of the port: a change that is to keep the decisions keeps it.
+ * Measures the processor time that the owner of a large service spends on scheduling, on virtual time: jobs first
+ * exceed the workers' capacity, then match it, then stop. The last line is a hash of all calls to the port; a change
+ * that preserves the decisions preserves it.
  */
 public final class OwnerExperiment implements SchedulerPort {
 
@@ -46,14 +46,14 @@
     private static final Room ROOM = new Room(8_000, 16_000, 0);
     private static final StepSpec.Need NEED = new StepSpec.Need(1_000, 100, 0);
     private static final int LASTING_JOBS = 5;
-    // Until these moments jobs come at these rates; a job has two steps of four tasks.
+    // Arrival rates of jobs until the given times; a job has two steps of four tasks.
     private static final long CROWDED_UNTIL = 12_000;
     private static final double CROWDED_PER_SECOND = 70;
     private static final long BUSY_UNTIL = 60_000;
     private static final double BUSY_PER_SECOND = 36;
     private static final long END = 80_000;
     private static final int TASKS = 4;
-    // As the host of a scheduler does it.
+    // Same as in the host of a scheduler.
     private static final long TICK_MILLIS = 25;
     private static final long TICK_GAP_MILLIS = 5;
     private static final long REPORT_MILLIS = 120;
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Prints what was spent, {@code rounds} times; the first rounds contain the virtual machine's own start. */
+    /** Prints the time spent, {@code rounds} times; the first rounds include the start of the virtual machine. */
     public static void main(String[] args) {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 1;
         for (int i = 0; i < rounds; i++) {
--- a/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** Tasks that fill a worker must not hold up those that serve users there. */
+/** Tasks that use spare capacity must not slow down tasks that serve users on the same worker. */
 class PacingPassTest {
 
     private static final TaskId SERVES = new TaskId(0, 0, 0);
@@ -38,7 +38,7 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     @BeforeEach
-    void oneServesAndOneFills() {
+    void startAServingAndAFillerTask() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         StepSpec serving = StepSpec.builder(1, SchedulerDriver.NEED)
@@ -54,7 +54,7 @@
         d.port.starts.forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
-    private void tailIs(long millis) {
+    private void reportTailLatency(long millis) {
         d.advance(1_000);
         d.answerHold(
                 "w1",
@@ -68,44 +68,44 @@
     }
 
     @Nested
-    class WhatFills {
+    class AFillerTask {
 
         @Test
-        void worksOnWhileTheTargetIsMet() {
-            tailIs(90);
-            tailIs(90);
+        void keepsItsPaceWhileTheTargetIsMet() {
+            reportTailLatency(90);
+            reportTailLatency(90);
             assertTrue(d.port.paces.isEmpty());
         }
 
         @Test
-        void isSlowedDownAtOnceAndThenStopped() {
-            tailIs(150);
+        void isThrottledAtOnceAndThenPaused() {
+            reportTailLatency(150);
             assertEquals(40, lastPace());
-            tailIs(150);
+            reportTailLatency(150);
             assertEquals(0, lastPace());
             assertTrue(d.port.paces.stream().allMatch(p -> p.task().equals(FILLS)));
         }
 
         @Test
-        void movesAwayWhenThatDoesNotHelp() {
+        void movesAwayIfThrottlingDoesNotHelp() {
             for (int i = 0; i < 7; i++) {
-                tailIs(150);
+                reportTailLatency(150);
             }
             assertEquals(1, d.port.stops.size());
             assertEquals(FILLS, d.port.stops.get(0).task());
         }
 
         @Test
-        void getsMoreAgainWhenTheTargetIsFarAway() {
-            tailIs(150);
+        void speedsUpAgainWhenTheLatencyIsWellBelowTheTarget() {
+            reportTailLatency(150);
             for (int i = 0; i < 4; i++) {
-                tailIs(50);
+                reportTailLatency(50);
             }
             assertTrue(lastPace() > 40, "paced to " + lastPace());
         }
 
         @Test
-        void isPacedAgainWhenTheOrderWasNotAnswered() {
+        void getsARepeatedOrderIfTheFirstWasNotAnswered() {
             d.advance(1_000);
             d.answerHold(
                     "w1",
@@ -118,10 +118,10 @@
     }
 
     /**
-     * An owner has paced a filling task down to nothing, and is followed by another before it raised it again. No worker tells at
-     * what share its tasks work, and no record does: the next owner took it to be the whole, gave no order, and the task
-     * stood still for as long as that owner lasted. Read in the code; a log shows {@code TASK_PACED} under the first fence
-     * and none under the second.
+     * Guards against leaving a task paused after a change of owner. An owner paused a task that uses spare capacity
+     * and was replaced before it raised the pace again. Neither workers nor records state the pace, so the next owner
+     * assumed full speed and sent no order, and the task stood still. The log shows {@code TASK_PACED} under the
+     * first fence and none under the second.
      */
     @Nested
     class ATaskOfAnEarlierOwner {
@@ -156,15 +156,18 @@
         }
 
         @Test
-        void isToldToWorkAtItsWholeSpeedWhereNothingServes() {
+        void isSetToFullSpeedIfThereIsNoServingTask() {
             followsWith(fills());
             assertEquals(1, next.port.paces.size());
             assertEquals(100, next.port.paces.get(0).percent());
         }
 
-        /** Whoever serves there had it paced down, as far as anybody knows: it is let go on slowly, and raised from there. */
+        /**
+         * A serving task on the worker probably caused the throttling, so the pace starts low and is raised from
+         * there.
+         */
         @Test
-        void beginsSlowlyBesideOneThatServes() {
+        void startsSlowlyIfThereIsAServingTask() {
             followsWith(serves(), fills());
             assertEquals(1, next.port.paces.size());
             assertEquals(40, next.port.paces.get(0).percent());
--- a/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.StepSpec;
 
-/** What one write takes, and what becomes of records that the store will never take. */
+/** Tests the size of writes, and records that the store rejects permanently. */
 class PersistencePassTest {
 
     private static final long GATHERING_MILLIS = 50;
@@ -46,11 +46,11 @@
     }
 
     @Nested
-    class Sizes {
+    class TheSize {
 
-        /** 15 jobs of 1,000 tasks are 1.2 MB in one call: longer on a link of 7 Mbit/s than a call may take. */
+        /** 15 jobs of 1,000 tasks take 1.2 MB in one call, which exceeds the timeout of a call on a 7 Mbit/s link. */
         @Test
-        void ofWritesAreBoundedByTheirTasks() {
+        void ofWritesIsLimitedByTheirTasks() {
             begins();
             for (int i = 0; i < 15; i++) {
                 d.submit("job" + i, step(1_000));
@@ -68,7 +68,7 @@
         }
 
         @Test
-        void ofSmallJobsAreNot() {
+        void ofWritesOfSmallJobsIsNotLimitedByTasks() {
             begins();
             for (int i = 0; i < 15; i++) {
                 d.submit("job" + i, step(10));
@@ -79,17 +79,18 @@
     }
 
     /**
-     * A job is cancelled while hundreds of its tasks run, and the store refuses the record that says so. It was written again
-     * as it was, each second and in vain: the ends on its workers never became durable, so that they were never called empty
-     * and no instance of theirs could be maintained. The log had {@code progress-rejected} and nothing else.
+     * Guards against repeating a rejected record forever. A job is cancelled while hundreds of its tasks run, and the
+     * store rejects its record. The same record was written again each second, so the results on its workers never
+     * became durable, the workers were never reported as empty and their instances could not be maintained. The log
+     * showed only {@code progress-rejected}.
      */
     @Nested
-    class ARecordRefusedAfterItsJobHasEnded {
+    class ARecordRejectedAfterTheEndOfItsJob {
 
         private static final long RETRY_MILLIS = 1_100;
 
         @Test
-        void isWrittenWithoutWhatASuccessorCanFindOut() {
+        void isWrittenWithoutItsTasks() {
             begins();
             d.submit("a", step(300));
             d.advance(GATHERING_MILLIS);
@@ -102,11 +103,13 @@
             d.advance(RETRY_MILLIS);
             SchedulerPort.ProgressWrite again = d.port.saves.remove(0).get(0);
             assertEquals(JobState.CANCELLED, again.progress().state());
-            assertTrue(again.progress().tasks().isEmpty(), "workers tell a successor what runs, and it stops that");
+            assertTrue(
+                    again.progress().tasks().isEmpty(),
+                    "workers report running tasks to the next owner, which stops them");
         }
     }
 
-    /** A store that takes 250 ms for its answers, while a large service changes some 700 records a second. */
+    /** A store with a latency of 250 ms, while a large service changes about 700 records per second. */
     @Nested
     class ASlowStore {
 
@@ -127,16 +130,16 @@
         }
 
         @Test
-        void doesNotBoundWhatIsWrittenBelowWhatALargeServiceChanges() {
+        void sustainsTheChangeRateOfALargeService() {
             begins();
             for (int i = 0; i < JOBS; i++) {
                 d.submit("job" + i, step(1));
             }
-            assertTrue(writtenWithin(750) >= JOBS, "700 a second are 400 within 600 ms");
+            assertTrue(writtenWithin(750) >= JOBS, "700 per second are 400 within 600 ms");
         }
 
         @Test
-        void isNotAskedFasterThanASoundOne() {
+        void getsNoMoreWritesThanAFastOne() {
             begins();
             for (int i = 0; i < JOBS; i++) {
                 d.submit("job" + i, step(1));
@@ -144,14 +147,14 @@
             d.port.saves.clear();
             int before = d.port.saves.size();
             d.advance(STEP_MILLIS);
-            assertTrue(d.port.saves.size() - before <= 10, "400 writes a second are 10 in 25 ms");
+            assertTrue(d.port.saves.size() - before <= 10, "400 writes per second are 10 in 25 ms");
         }
     }
 
     @Nested
-    class Rejected {
+    class RejectedRecords {
 
-        /** Refuses each write that holds the job, as a store does for which its record is too large. */
+        /** Rejects each write that contains the job, as a store does if its record is too large. */
         private void answerAllBut(String job) {
             List<List<SchedulerPort.ProgressWrite>> all = List.copyOf(d.port.saves);
             d.port.saves.clear();
@@ -170,7 +173,7 @@
         }
 
         @Test
-        void recordsKeepNoOtherJobBack() {
+        void doNotBlockOtherJobs() {
             begins();
             for (int i = 0; i < 5; i++) {
                 d.submit("job" + i, step(1));
@@ -186,7 +189,7 @@
         }
 
         @Test
-        void recordsEndTheirJobSinceNothingOfItCanBeKept() {
+        void endTheirJob() {
             begins();
             d.submit("large", step(2));
             List<SchedulerPort.ProgressWrite> written = new ArrayList<>();
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
@@ -27,28 +27,28 @@
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** Which task is placed next, and when none is. */
+/** Tests which task is placed next, and when none is placed. */
 class PlacementPassTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    /** A step that fills a worker whole. */
+    /** Returns a step whose task needs a whole worker. */
     private static StepSpec wide(long estimateMillis) {
         return StepSpec.builder(1, new StepSpec.Need(4_000, 100, 0))
                 .estimateMillis(estimateMillis)
                 .build();
     }
 
-    private void oneWorkerIsBusy() {
+    private void fillTheOnlyWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("busy", wide(1_000));
         d.completeSaves();
     }
 
-    private void theWorkerIsFree() {
+    private void freeTheWorker() {
         RunStatus none = new RunStatus("busy", FIRST, 1, "", 50, -1);
         d.answerHold("w1", List.of(none), List.of());
         d.advance(10);
@@ -57,20 +57,20 @@
     }
 
     @Nested
-    class WithTooLittleRoom {
+    class UnderOverload {
 
         @Test
-        void theJobWithTheLeastTimeLeftGoesFirst() {
-            oneWorkerIsBusy();
+        void jobWithTheLeastSlackIsFirst() {
+            fillTheOnlyWorker();
             d.submit("patient", wide(9_000));
             d.advance(100);
             d.submit("pressed", wide(1_000));
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("pressed", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatHasBegunGoesBeforeOneThatIsMorePressed() {
+        void startedJobPrecedesAMoreUrgentOne() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             StepSpec two = StepSpec.builder(2, new StepSpec.Need(4_000, 100, 0))
@@ -79,33 +79,33 @@
             d.submit("busy", two);
             d.completeSaves();
             d.submit("pressed", wide(1_000));
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("busy", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatWouldHardlyEndInTimeIsBegunAfterOneThatSurelyDoes() {
-            oneWorkerIsBusy();
+        void jobWithLittleMarginIsStartedAfterOneWithMore() {
+            fillTheOnlyWorker();
             d.submit("hardly", wide(4_000));
             d.advance(2_200);
             d.submit("surely", wide(9_000));
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("surely", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatIsLateAnywayGoesAfterOneThatIsNot() {
-            oneWorkerIsBusy();
+        void lateJobFollowsOneThatIsNot() {
+            fillTheOnlyWorker();
             d.submit("late", wide(1_000));
             d.advance(2_500);
             d.submit("fresh", wide(9_000));
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("fresh", d.lastStart().jobId());
         }
     }
 
     @Nested
-    class WithRoomOfDifferentKinds {
+    class WithSeveralResources {
 
         private WorkerFacts worker(String id, long cpuMillis, long memoryMb) {
             return new WorkerFacts(
@@ -125,7 +125,7 @@
         }
 
         @Test
-        void aStepThatNoOneWorkerHasRoomForKeepsNoOtherOneWaiting() {
+        void stepThatFitsNowhereDoesNotBlockOthers() {
             d.listAndAnswer(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
             d.submit("both", asking(4_000, 8_000));
             d.submit("cpu", asking(4_000, 100));
@@ -135,7 +135,7 @@
         }
 
         @Test
-        void aSmallStepIsPlacedWhereLargerAndMoreUrgentOnesFitNoMore() {
+        void smallStepIsPlacedIfLargerAndMoreUrgentOnesDoNotFit() {
             d.listAndAnswer(worker("w1", 4_000, 8_000));
             d.submit("a", asking(3_000, 100));
             d.submit("b", asking(3_000, 100));
@@ -144,7 +144,7 @@
         }
 
         @Test
-        void aStepThatAsksForNothingIsPlacedOnAFullWorker() {
+        void stepWithoutDemandIsPlacedOnAFullWorker() {
             d.listAndAnswer(worker("w1", 4_000, 8_000));
             d.submit("a", asking(4_000, 8_000));
             d.submit("b", asking(0, 0));
@@ -152,18 +152,18 @@
         }
 
         @Test
-        void roomThatAnEndGivesBackIsSeen() {
-            oneWorkerIsBusy();
+        void roomFreedByAnEndedRunIsUsed() {
+            fillTheOnlyWorker();
             d.advance(100);
             d.submit("next", wide(1_000));
             assertEquals(1, d.port.starts.size());
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("next", d.lastStart().jobId());
         }
     }
 
     @Nested
-    class WithAnOldListOfWorkers {
+    class WithAStaleListOfWorkers {
 
         @Test
         void nothingIsPlaced() {
@@ -171,7 +171,7 @@
             d.answerHold("w1", List.of(), List.of());
             d.now += 2_600;
             d.submitWithStaleList("a", wide(1_000));
-            assertTrue(d.port.saves.isEmpty(), "a worker may drain by now");
+            assertTrue(d.port.saves.isEmpty(), "a worker may be draining by now");
             d.advance(0);
             assertEquals(1, d.port.saves.size());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/RepeatedJobTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/RepeatedJobTest.java
@@ -26,7 +26,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 
-/** Jobs whose steps are run at several times. */
+/** Tests jobs with several iterations. */
 class RepeatedJobTest {
 
     private static final StepSpec ONE =
@@ -36,7 +36,7 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private void handedIn() {
+    private void submitJob() {
         d.listAndAnswer(SchedulerDriver.workerOnRack("w1", "r1"));
         d.submitRepeated("a", new Repeat(2, 1_000, 2_000), ONE, AFTER);
     }
@@ -54,11 +54,11 @@
     }
 
     @Nested
-    class ATime {
+    class AnIteration {
 
         @Test
-        void isNotBegunBeforeItIsDue() {
-            handedIn();
+        void isNotStartedBeforeItIsDue() {
+            submitJob();
             later(999);
             assertTrue(d.port.starts.isEmpty());
             later(1);
@@ -66,8 +66,8 @@
         }
 
         @Test
-        void doesNotWaitForTheOneBefore() {
-            handedIn();
+        void doesNotWaitForThePreviousOne() {
+            submitJob();
             later(1_000);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(1_000);
@@ -79,8 +79,8 @@
         }
 
         @Test
-        void takesItsOwnStepsInOrder() {
-            handedIn();
+        void runsItsStepsInOrder() {
+            submitJob();
             later(1_000);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
--- a/core/src/test/java/org/lupinpaddle/core/run/RunTimeEstimatorTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/RunTimeEstimatorTest.java
@@ -24,36 +24,36 @@
 
     private final RunTimeEstimator times = new RunTimeEstimator();
 
-    private void learned(int runs, long millis) {
+    private void recordRuns(int runs, long millis) {
         for (int i = 0; i < runs; i++) {
             times.recordRunTime("q", millis);
         }
     }
 
     @Nested
-    class Expected {
+    class TheExpectedRunTime {
 
         @Test
-        void isTheGuessWhileLittleIsKnown() {
-            learned(4, 1_000);
+        void isTheCallersEstimateWithFewRuns() {
+            recordRuns(4, 1_000);
             assertEquals(4_000, times.expectedMillis("q", 4_000));
         }
 
         @Test
-        void liesBetweenTheGuessAndWhatRunsTook() {
-            learned(5, 1_000);
+        void liesBetweenTheEstimateAndTheMean() {
+            recordRuns(5, 1_000);
             assertEquals(2_000, times.expectedMillis("q", 4_000));
         }
 
         @Test
-        void isTheMeanWithoutAGuess() {
-            learned(50, 700);
+        void isTheMeanWithoutAnEstimate() {
+            recordRuns(50, 700);
             assertEquals(700, times.expectedMillis("q", 0));
         }
 
         @Test
-        void ofAnotherQueueIsNotTouched() {
-            learned(50, 700);
+        void ofAnotherQueueIsNotAffected() {
+            recordRuns(50, 700);
             assertEquals(1_000, times.expectedMillis("other", 0));
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
@@ -28,7 +28,7 @@
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** A scheduler with workers that answer as a test says, on a clock that a test moves. */
+/** Drives a scheduler with simulated workers on a manual clock. */
 final class SchedulerDriver {
 
     static final long HOLD_MILLIS = 5_000;
@@ -40,7 +40,7 @@
     final FakeSchedulerPort port = new FakeSchedulerPort();
     final ServiceScheduler scheduler;
     long now;
-    /** Whether the queue of the jobs to come asks for advice. */
+    /** Whether the queue of submitted jobs requires advice. */
     boolean advised;
 
     SchedulerDriver() {
@@ -53,7 +53,7 @@
         return new WorkerFacts(id, "clips", "at-" + id, "north", false, 0, ROOM, List.of("rack-" + id));
     }
 
-    /** Returns what the entry of a worker that states its birth says. */
+    /** Returns the entry of a worker that states its birth. */
     static WorkerFacts workerBornAt(String id, long bornMillis) {
         return new WorkerFacts(id, bornMillis, "clips", "at-" + id, "north", false, 0, ROOM, List.of("rack-" + id));
     }
@@ -72,7 +72,7 @@
         tick();
     }
 
-    /** Hands in a job whose steps are run at several times. */
+    /** Submits a job with several iterations. */
     void submitRepeated(String id, Repeat repeat, StepSpec... steps) {
         JobKey key = new JobKey("q", id);
         Policy policy = new Policy(0, 3, 1.5, 500, advised);
@@ -80,12 +80,11 @@
         tick();
     }
 
-    /** Returns a worker on a rack. */
     static WorkerFacts workerOnRack(String id, String rack) {
         return new WorkerFacts(id, "clips", "at-" + id, "north", false, 0, ROOM, List.of(rack));
     }
 
-    /** Lists these workers and lets each answer. */
+    /** Lists these workers and answers a hold of each. */
     void listAndAnswer(WorkerFacts... all) {
         scheduler.onWorkers(List.of(all));
         tick();
@@ -94,7 +93,7 @@
         }
     }
 
-    /** Hands in a job while the list of workers is not confirmed. */
+    /** Submits a job while the list of workers is not confirmed. */
     void submitWithStaleList(String id, StepSpec... steps) {
         submitJob(id, null, steps);
         scheduler.tick();
@@ -106,13 +105,13 @@
         scheduler.onJob(new JobSpec(key, "clips", "text", List.of(steps), Repeat.ONCE, policy, now), progress);
     }
 
-    /** Lets the worker answer its newest hold. */
+    /** Answers the newest hold of a worker. */
     void answerHold(String worker, List<RunStatus> running, List<RunResult> ended) {
         scheduler.onHoldAnswered(lastHold(worker), now, new HoldResponse(100_000 + now, running, ended));
         tick();
     }
 
-    /** Lets the life of a worker that was born then answer its newest hold, by its own clock. */
+    /** Answers the newest hold of a worker as the incarnation with this birth and clock. */
     void answerHoldAs(
             String worker, long bornMillis, long clockMillis, List<RunStatus> running, List<RunResult> ended) {
         HoldOrder last = lastHold(worker);
@@ -128,12 +127,12 @@
                 .orElseThrow();
     }
 
-    /** Lets the worker keep silent to its newest hold. */
+    /** Leaves the newest hold of a worker unanswered. */
     void leaveHoldUnanswered(String worker) {
         failHold(worker, OrderOutcome.UNKNOWN);
     }
 
-    /** Lets another life answer the worker's newest hold: it has crashed or was ended, and is back. */
+    /** Answers the newest hold as another incarnation: the worker has crashed or was ended, and has restarted. */
     void answerAsOtherIncarnation(String worker) {
         failHold(worker, OrderOutcome.OTHER_LIFE);
     }
@@ -146,7 +145,7 @@
         tick();
     }
 
-    /** Makes durable what the scheduler has asked to be written. */
+    /** Completes all pending saves. */
     void completeSaves() {
         List<List<SchedulerPort.ProgressWrite>> all = new ArrayList<>(port.saves);
         port.saves.clear();
--- a/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.job.TaskRecord;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** Each trap of running a task exactly once, told as one short story. */
+/** Tests the cases that endanger running each task exactly once. */
 class ServiceSchedulerTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -54,7 +54,7 @@
         return new RunResult(number, "a", FIRST, run, kind, "");
     }
 
-    private void startOnOneOf(String... workers) {
+    private void startOnAnyOf(String... workers) {
         d.listWorkers(workers);
         for (String w : workers) {
             d.answerHold(w, List.of(), List.of());
@@ -64,7 +64,7 @@
     }
 
     @Nested
-    class Writing {
+    class SavingProgress {
 
         private static final int OLDER = 40;
         private static final int TASKS = 60;
@@ -80,7 +80,7 @@
             }
         }
 
-        /** Ends one task of each older job. */
+        /** Completes one task of each older job. */
         private void allChange(int round) {
             List<RunResult> ends = IntStream.range(0, OLDER)
                     .mapToObj(i -> new RunResult(
@@ -96,7 +96,7 @@
         }
 
         @Test
-        void ofANewJobIsNotPutOffByOlderOnesThatChangeAllTheTime() {
+        void ofANewJobIsNotDelayedByConstantChangesOfOlderOnes() {
             begun("w1");
             for (int i = 0; i < 10; i++) {
                 d.advance(GATHERING_MILLIS);
@@ -115,7 +115,7 @@
         }
 
         @Test
-        void goesOnWhileOneWriteIsUnderWay() {
+        void continuesWhileAWriteIsInFlight() {
             begun("w1");
             d.advance(GATHERING_MILLIS);
             d.advance(GATHERING_MILLIS);
@@ -123,7 +123,7 @@
         }
 
         @Test
-        void ofOneJobGoesOutOnceAtATime() {
+        void ofOneJobIsNotConcurrent() {
             begun("w1");
             d.advance(GATHERING_MILLIS);
             allChange(0);
@@ -137,10 +137,10 @@
     }
 
     @Nested
-    class Starting {
+    class AStart {
 
         @Test
-        void waitsUntilTheChoiceOfWorkerIsDurable() {
+        void waitsUntilThePlacementIsDurable() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", ONE);
@@ -150,7 +150,7 @@
         }
 
         @Test
-        void waitsUntilTheWorkerHasSeenThisOwnersFence() {
+        void waitsUntilTheWorkerHasAcceptedTheOwnersFence() {
             d.listWorkers("w1");
             d.submit("a", ONE);
             d.completeSaves();
@@ -160,10 +160,10 @@
             assertEquals("w1", d.lastStart().worker().id());
         }
 
-        /** Both are told in whole milliseconds: which of the two reached the worker first is open. */
+        /** Times have millisecond resolution, so it is unknown which of the two reached the worker first. */
         @Test
-        void isNotTakenBackByAHoldSentInTheMillisecondOfItsAnswer() {
-            startOnOneOf("w1");
+        void isNotWithdrawnByAHoldSentInTheMillisecondOfItsAnswer() {
+            startOnAnyOf("w1");
             d.advance(10);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.answerHold("w1", List.of(), List.of());
@@ -173,9 +173,12 @@
             assertEquals(1, d.port.stops.size());
         }
 
-        /** The choice may have waited for the store for seconds, and its worker may have said that it leaves. */
+        /**
+         * The placement may have waited seconds for the store, and its worker may have announced meanwhile that it
+         * drains.
+         */
         @Test
-        void waitsUntilTheListOfWorkersIsKnownToBeNew() {
+        void waitsUntilTheListOfWorkersIsFresh() {
             d.listWorkers("w1", "w2");
             d.answerHold("w1", List.of(), List.of());
             d.answerHold("w2", List.of(), List.of());
@@ -186,7 +189,7 @@
             assertTrue(d.port.starts.isEmpty());
             d.scheduler.onWorkers(List.of(leaving("w1"), leaving("w2")));
             d.advance(10);
-            assertTrue(d.port.starts.isEmpty(), "both are about to end");
+            assertTrue(d.port.starts.isEmpty(), "both workers are about to end");
         }
 
         private WorkerFacts leaving(String id) {
@@ -195,8 +198,8 @@
         }
 
         @Test
-        void withoutAnswerIsTriedAgainThereAndNowhereElse() {
-            startOnOneOf("w1", "w2");
+        void thatIsUnansweredIsRepeatedOnTheSameWorker() {
+            startOnAnyOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
             d.advance(300);
@@ -206,8 +209,8 @@
         }
 
         @Test
-        void refusedAfterSilenceIsStoppedBeforeTheTaskGoesElsewhere() {
-            startOnOneOf("w1", "w2");
+        void rejectedAfterSilenceIsStoppedBeforeTheTaskMoves() {
+            startOnAnyOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
             d.advance(300);
@@ -227,8 +230,8 @@
         }
 
         @Test
-        void thatNeverLeftGoesElsewhereAtOnce() {
-            startOnOneOf("w1", "w2");
+        void thatWasNotSentMovesAtOnce() {
+            startOnAnyOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.NOT_SENT);
             d.scheduler.tick();
@@ -239,19 +242,19 @@
         }
 
         @Test
-        void refusedByTheFenceEndsTheOwnership() {
-            startOnOneOf("w1");
+        void rejectedByTheFenceEndsTheOwnership() {
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.FENCED);
             assertEquals(1, d.port.lost.size());
         }
     }
 
     @Nested
-    class Ends {
+    class Results {
 
         @Test
-        void areDurableBeforeTheWorkerForgetsThem() {
-            startOnOneOf("w1");
+        void areDurableBeforeTheyAreAcknowledged() {
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
             d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
@@ -264,7 +267,7 @@
 
         @Test
         void ofAllTasksCompleteTheJob() {
-            startOnOneOf("w1");
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
             d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
@@ -273,8 +276,8 @@
         }
 
         @Test
-        void asFailedUseUpAttemptsAndAvoidTheWorker() {
-            startOnOneOf("w1", "w2");
+        void ofFailedRunsUseUpAttemptsAndAvoidTheWorker() {
+            startOnAnyOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
             d.advance(100);
@@ -285,8 +288,8 @@
         }
 
         @Test
-        void onTheOnlyWorkerMakeTheTaskWaitForAnotherOne() {
-            startOnOneOf("w1");
+        void ofFailedRunsOnTheOnlyWorkerMakeTheTaskWaitForAnotherOne() {
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
             d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.FAILED)));
@@ -297,7 +300,7 @@
         }
 
         @Test
-        void asksForOneStepAtATimeWhereStepsWaitForEachOther() {
+        void requestsWorkersForOneOfSeveralConsecutiveSteps() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             StepSpec first = StepSpec.builder(8, SchedulerDriver.NEED)
@@ -309,7 +312,7 @@
                     .build();
             d.submit("a", first, second);
             d.now += 10_000;
-            assertEquals(3, d.scheduler.report().needed(), "eight tasks at a time, four to a worker, not sixteen");
+            assertEquals(3, d.scheduler.report().needed(), "eight concurrent tasks, four per worker, not sixteen");
         }
     }
 
@@ -326,8 +329,8 @@
             return new RunStatus(job, FIRST, 1, "", 50, -1);
         }
 
-        /** Lets three jobs fail on the only worker, and waits until it may get a task again. */
-        private void threeFailed() {
+        /** Makes three jobs fail on the only worker and waits until it may get a task again. */
+        private void failThreeJobs() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             List<String> jobs = List.of("a", "b", "c");
@@ -358,8 +361,8 @@
         }
 
         @Test
-        void aLastingTaskThatGoesWellKeepsNoOtherFromTheWorker() {
-            threeFailed();
+        void healthyLongRunningTaskDoesNotBlockTheWorker() {
+            failThreeJobs();
             d.submit("x", lasting);
             pass(STEP_MILLIS, List.of());
             begins("x");
@@ -369,8 +372,8 @@
         }
 
         @Test
-        void theWorkerGetsOneTaskAtATime() {
-            threeFailed();
+        void workerGetsOneTaskAtATime() {
+            failThreeJobs();
             d.submit("x", ONE);
             pass(STEP_MILLIS, List.of());
             begins("x");
@@ -380,8 +383,8 @@
         }
 
         @Test
-        void aLastingTaskThatHasJustBegunProvesNothing() {
-            threeFailed();
+        void longRunningTaskThatHasJustStartedProvesNothing() {
+            failThreeJobs();
             d.submit("x", lasting);
             pass(STEP_MILLIS, List.of());
             begins("x");
@@ -402,7 +405,7 @@
         }
 
         @Test
-        void ofManyJobsAreWrittenInTheOrderOfTheirChangesAndAFewAtATime() {
+        void ofManyJobsAreSavedInSmallBatchesInTheOrderOfTheirChanges() {
             for (int i = 0; i < 20; i++) {
                 d.submit("job-" + i, ONE);
             }
@@ -410,9 +413,9 @@
                 d.scheduler.onCancel(new JobKey("q", "job-" + i));
             }
             d.advance(0);
-            assertEquals(IntStream.range(0, 10).mapToObj(i -> "job-" + i).toList(), written(), "one call's rows");
+            assertEquals(IntStream.range(0, 10).mapToObj(i -> "job-" + i).toList(), written(), "the rows of one call");
             d.advance(100);
-            assertEquals(IntStream.range(0, 20).mapToObj(i -> "job-" + i).toList(), written(), "each once");
+            assertEquals(IntStream.range(0, 20).mapToObj(i -> "job-" + i).toList(), written(), "each job once");
             d.completeSaves();
             d.advance(100);
             assertEquals(List.of(), written());
@@ -428,10 +431,10 @@
         }
 
         @Test
-        void takeSixteenCallsAtATimeAndNoMore() {
+        void useAtMostSixteenConcurrentCalls() {
             endHundreds();
             d.advance(100);
-            assertEquals(10, d.port.saves.size(), "in one go");
+            assertEquals(10, d.port.saves.size(), "without a delay in between");
             d.advance(100);
             d.advance(100);
             assertEquals(16, d.port.saves.size());
@@ -443,7 +446,7 @@
         }
 
         @Test
-        void takeFourCallsAtATimeAndNoMoreWhileTheyFail() {
+        void useAtMostFourConcurrentCallsWhileTheyFail() {
             endHundreds();
             d.advance(100);
             List.copyOf(d.port.saves).forEach(s -> d.scheduler.onSaveFailed(s, 150));
@@ -454,8 +457,8 @@
         }
 
         @Test
-        void ofChangesDuringAWriteAreWrittenAgain() {
-            startOnOneOf("w1");
+        void thatChangeDuringAWriteAreWrittenAgain() {
+            startOnAnyOf("w1");
             d.advance(100);
             d.submit("b", ONE);
             assertEquals(List.of("b"), written());
@@ -469,7 +472,7 @@
         }
 
         @Test
-        void thatCouldNotBeWrittenAreWrittenLater() {
+        void thatCouldNotBeSavedAreSavedLater() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", ONE);
@@ -497,12 +500,12 @@
             d.submit("b", ONE);
             d.advance(50);
             d.completeSaves();
-            assertNotEquals(first.worker().id(), d.lastStart().worker().id(), "it may be out of reach");
+            assertNotEquals(first.worker().id(), d.lastStart().worker().id(), "the first worker may be unreachable");
         }
 
         @Test
-        void areGivenNoLaterDeadline() {
-            startOnOneOf("w1");
+        void getNoLaterDeadline() {
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(10);
             d.answerHold("w1", List.of(runs(1)), List.of());
@@ -518,9 +521,9 @@
             assertTrue(atMost <= 100_000 + 10 + 2_600 + SchedulerDriver.HOLD_MILLIS, "deadline " + atMost);
         }
 
-        /** Lets the worker of run 1 be silent until run 2 has begun elsewhere; returns both workers. */
+        /** Leaves the worker of run 1 silent until run 2 has started elsewhere; returns both workers. */
         private List<String> begunTwice() {
-            startOnOneOf("w1", "w2");
+            startOnAnyOf("w1", "w2");
             String gone = d.lastStart().worker().id();
             String other = gone.equals("w1") ? "w2" : "w1";
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
@@ -538,18 +541,18 @@
         }
 
         @Test
-        void thatEndARunDoneAfterAllLeaveARecordThatSaysSo() {
+        void thatCompleteARunLateGetItRecorded() {
             String gone = begunTwice().get(0);
             d.port.saves.clear();
             d.answerHold(gone, List.of(), List.of(ends(1, 1, EndKind.DONE)));
             d.advance(100);
             TaskRecord written = d.port.saves.get(0).get(0).progress().tasks().get(0);
-            assertTrue(written.done(), "the worker may forget the end once this is written");
+            assertTrue(written.done(), "the worker may discard the result once this is saved");
             assertEquals(2, written.run());
         }
 
         @Test
-        void thatTellTheirOlderEndLastChangeNothingOfWhatIsDone() {
+        void thatReportAnOlderResultLastDoNotChangeACompletedTask() {
             List<String> both = begunTwice();
             d.answerHold(both.get(1), List.of(), List.of(ends(1, 2, EndKind.DONE)));
             d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
@@ -562,7 +565,7 @@
         }
 
         @Test
-        void thatEndedARunDoneKeepTheNextOwnerFromRunningTheTaskAgain() {
+        void thatCompletedARunPreventTheNextOwnerFromRepeatingIt() {
             List<String> both = begunTwice();
             d.port.saves.clear();
             d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.DONE)));
@@ -584,9 +587,11 @@
             assertTrue(next.port.starts.isEmpty());
         }
 
-        /** An end is noted unless its worker's lease has lapsed since; so the task keeps all attempts that were noted. */
+        /**
+         * A result is recorded unless its worker's lease has expired since, so the task keeps all recorded attempts.
+         */
         @Test
-        void thatEndedARunFailedAreNoAttemptOnceTheirLeaseHasLapsed() {
+        void withAFailedRunCountNoAttemptOnceTheirLeaseHasExpired() {
             List<String> both = begunTwice();
             d.port.saves.clear();
             d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
@@ -599,7 +604,7 @@
 
         @Test
         void keepTheirTasksUntilEveryDeadlineHasPassed() {
-            startOnOneOf("w1", "w2");
+            startOnAnyOf("w1", "w2");
             String gone = d.lastStart().worker().id();
             String other = gone.equals("w1") ? "w2" : "w1";
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
@@ -617,9 +622,9 @@
             assertEquals(other, d.lastStart().worker().id());
         }
 
-        /** Ends one run on w1 and leaves it with another until every deadline has passed; no record is durable. */
+        /** Ends one run on w1, which keeps another one until every deadline has passed; no record is durable. */
         private void endsOneOfTwoAndIsSilent() {
-            startOnOneOf("w1");
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.submit("b", ONE);
             d.advance(100);
@@ -642,7 +647,7 @@
         }
 
         @Test
-        void thatAnswerAgainDoNotForgetEndsThatAreNotDurable() {
+        void thatAnswerAgainKeepResultsThatAreNotDurable() {
             endsOneOfTwoAndIsSilent();
             d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
             d.advance(100);
@@ -653,7 +658,7 @@
         }
 
         @Test
-        void thatAreListedAgainDoNotForgetEndsThatAreNotDurable() {
+        void thatAreListedAgainKeepResultsThatAreNotDurable() {
             endsOneOfTwoAndIsSilent();
             d.listWorkers();
             d.advance(60_000);
@@ -667,8 +672,8 @@
         }
 
         @Test
-        void loseTheirTasksAtOnceWhenAnotherLifeAnswers() {
-            startOnOneOf("w1", "w2");
+        void loseTheirTasksAtOnceWhenAnotherIncarnationAnswers() {
+            startOnAnyOf("w1", "w2");
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
             HoldOrder hold = d.port.holds.stream()
@@ -690,7 +695,7 @@
                 new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 0, false, "w1", "")), "", 0);
 
         @Test
-        void takesUpWhatRuns() {
+        void adoptsRunningTasks() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             d.answerHold("w1", List.of(runs(4)), List.of());
@@ -701,9 +706,9 @@
             assertTrue(d.port.stops.isEmpty());
         }
 
-        /** The earlier owner may have heard of the end, and have been closed or killed before it wrote that. */
+        /** The earlier owner may have received the result and have been stopped before saving it. */
         @Test
-        void takesInEndsThatItsPredecessorDidNotWrite() {
+        void processesResultsThatThePreviousOwnerDidNotSave() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             d.answerHold("w2", List.of(), List.of());
@@ -716,7 +721,7 @@
         }
 
         @Test
-        void isNotToldThatAWorkerIsEmptyBeforeItHasLearntWhatBecameOfItsRuns() {
+        void doesNotReportAWorkerAsEmptyBeforeItKnowsTheResults() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
@@ -724,13 +729,13 @@
             assertTrue(d.port.emptied.isEmpty());
             d.answerHold("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
             d.advance(100);
-            assertTrue(d.port.emptied.isEmpty(), "its end is not durable");
+            assertTrue(d.port.emptied.isEmpty(), "its result is not durable");
             d.completeSaves();
             assertTrue(d.port.emptied.contains("w1"));
         }
 
         @Test
-        void startsAnewWhatNeverBegan() {
+        void restartsTasksThatNeverStarted() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             d.answerHold("w1", List.of(), List.of());
@@ -741,7 +746,7 @@
         }
 
         @Test
-        void waitsForAWorkerItCanNotReach() {
+        void waitsForAnUnreachableWorker() {
             d.listWorkers("w2");
             d.submit("a", left, ONE);
             d.answerHold("w2", List.of(), List.of());
@@ -752,7 +757,7 @@
         }
 
         @Test
-        void doesNotWaitForOneThatThePlatformListsNowhere() {
+        void doesNotWaitForAWorkerThatThePlatformDoesNotList() {
             d.listWorkers("w2");
             d.submit("a", left, ONE);
             d.advance(3_000);
@@ -767,25 +772,25 @@
         }
 
         @Test
-        void stopsWhatItDoesNotKnow() {
+        void stopsUnknownRuns() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(runs(9)), List.of());
             assertEquals(9, d.port.stops.get(0).run());
         }
     }
 
-    /** A task runs again only on proof that its run is over; what merely looks like one must not do. */
+    /** A task runs again only if its run is proven to have ended; these observations are not sufficient proof. */
     @Nested
-    class ProofThatARunIsOver {
+    class ProofOfTheEndOfARun {
 
-        // As many as a worker lists at once.
+        // The maximum number of results that a worker lists at once.
         private static final int MOST_ENDS = 500;
 
         private final JobProgress left =
                 new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 0, false, "w1", "")), "", 0);
 
-        private void runsOnTheFirstOf(String... workers) {
-            startOnOneOf(workers);
+        private void startOnTheFirstOf(String... workers) {
+            startOnAnyOf(workers);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
             d.answerHold(d.lastStart().worker().id(), List.of(runs(1)), List.of());
@@ -793,14 +798,14 @@
         }
 
         @Test
-        void isNotAListOfInstancesWhenTheWorkerWasToBeEmptiedAndIsNotAnyMore() {
-            runsOnTheFirstOf("w1", "w2");
+        void isNotAListOfInstancesAfterACancelledEvacuation() {
+            startOnTheFirstOf("w1", "w2");
             String w = d.lastStart().worker().id();
             d.scheduler.onEvacuations(Set.of(w), Set.of());
             d.advance(3_000);
             d.answerHold(w, List.of(runs(1)), List.of());
             d.scheduler.onEvacuations(Set.of(), Set.of());
-            assertFalse(d.scheduler.hasSilentWorkersWithTasks(), "it answered just now");
+            assertFalse(d.scheduler.hasSilentWorkersWithTasks(), "the worker has just answered");
             d.scheduler.onRunningWorkers(Set.of(), d.now);
             d.advance(100);
             d.completeSaves();
@@ -808,13 +813,13 @@
         }
 
         @Test
-        void isNotThatTheWorkersEntryNoLongerSaysWhereItIs() {
-            runsOnTheFirstOf("w1", "w2");
+        void isNotAnEntryWithoutAnAddress() {
+            startOnTheFirstOf("w1", "w2");
             String w = d.lastStart().worker().id();
             d.scheduler.onWorkers(List.of(nowhere("w1"), nowhere("w2")));
             int asked = d.port.holds.size();
             d.answerHold(w, List.of(runs(1)), List.of());
-            assertEquals(asked + 1, d.port.holds.size(), "it can be asked where it was");
+            assertEquals(asked + 1, d.port.holds.size(), "the worker can be polled at its old address");
         }
 
         private WorkerFacts nowhere(String id) {
@@ -823,7 +828,7 @@
         }
 
         @Test
-        void isNotAFullListOfEndsThatDoesNotHoldIt() {
+        void isNotAFullListOfResultsWithoutTheRun() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             List<RunResult> others = IntStream.rangeClosed(1, MOST_ENDS)
@@ -833,7 +838,7 @@
             d.answerHold("w2", List.of(), List.of());
             d.advance(100);
             d.completeSaves();
-            assertTrue(d.port.starts.isEmpty(), "its end may be the next that the worker lists");
+            assertTrue(d.port.starts.isEmpty(), "its result may be the next that the worker lists");
             d.answerHold("w1", List.of(), List.of(ends(MOST_ENDS + 1, 4, EndKind.DONE)));
             d.advance(100);
             d.completeSaves();
@@ -841,7 +846,7 @@
         }
 
         @Test
-        void isNotAListOfEndsInAnotherOrder() {
+        void isNotAnUnorderedListOfResults() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", ONE);
@@ -861,8 +866,8 @@
     class Cancelling {
 
         @Test
-        void stopsWhatRunsAndStartsNothing() {
-            startOnOneOf("w1");
+        void stopsRunningTasksAndStartsNone() {
+            startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.scheduler.onCancel(new JobKey("q", "a"));
             d.scheduler.tick();
@@ -873,7 +878,7 @@
         }
 
         @Test
-        void beforeTheStartHasGoneOutTakesItBack() {
+        void beforeTheStartIsSentWithdrawsThePlacement() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", ONE);
@@ -889,7 +894,7 @@
     class Writes {
 
         private static final int JOBS = 40;
-        // Each call has one for ownership.
+        // Each call needs one row for ownership.
         private static final int MOST_ROWS = 32 - 1;
 
         private int rows(SchedulerPort.ProgressWrite s) {
@@ -900,7 +905,7 @@
         }
 
         @Test
-        void ofJobsThatAreOverHaveRoomForTheirSmallRecordsInOneCall() {
+        void ofEndedJobsLeaveRoomForTheirSmallRecordsInOneCall() {
             for (int i = 0; i < JOBS; i++) {
                 d.submit("job-" + i, ONE);
             }
@@ -922,7 +927,7 @@
         }
 
         @Test
-        void ofADoneTaskCarryNothingToGoOnFrom() {
+        void ofACompletedTaskContainNoCheckpoint() {
             StepSpec two = StepSpec.builder(2, SchedulerDriver.NEED)
                     .checkpointing(true)
                     .build();
@@ -939,16 +944,16 @@
             d.advance(100);
             List<TaskRecord> tasks = d.port.saves.get(0).get(0).progress().tasks();
             assertEquals(new TaskRecord(0, 0, 0, 1, 0, true, "", ""), tasks.get(0));
-            assertEquals("other-work", tasks.get(1).checkpoint(), "this one may have to go on elsewhere");
+            assertEquals("other-work", tasks.get(1).checkpoint(), "this task may have to resume elsewhere");
         }
     }
 
-    /** A worker that refuses calls is asked again after a time, however much is written meanwhile. */
+    /** A worker that rejects calls is polled again after a delay, however many records are written meanwhile. */
     @Nested
-    class WorkersThatRefuse {
+    class WorkersThatRejectHolds {
 
         @Test
-        void areNotAskedAgainBecauseOthersRecordsWereSaved() {
+        void areNotPolledBecauseOtherRecordsWereSaved() {
             d.listWorkers("w1", "w2");
             d.answerHold("w1", List.of(), List.of());
             d.leaveHoldUnanswered("w2");
@@ -965,7 +970,7 @@
         }
     }
 
-    /** One write takes few records; all jobs of a busy service have something to write all the time. */
+    /** One write takes few records, and all jobs of a busy service have unsaved changes all the time. */
     @Nested
     class ManyJobs {
 
@@ -978,7 +983,7 @@
         private final Map<String, Iterator<StartOrder>> running = new LinkedHashMap<>();
 
         @Test
-        void thatCameFirstDoNotKeepTheNextFromStarting() {
+        void thatCameFirstDoNotDelayTheStartOfTheNext() {
             listWorkers();
             for (int i = 0; i < BUSY; i++) {
                 d.submit("busy-" + i, StepSpec.builder(TASKS, WHOLE_WORKER).build());
--- a/core/src/test/java/org/lupinpaddle/core/run/StragglerPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/StragglerPassTest.java
@@ -27,7 +27,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 
-/** Workers that look well and get nothing done. */
+/** Tests workers that seem healthy but make no or little progress. */
 class StragglerPassTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -40,8 +40,8 @@
                 .build();
     }
 
-    /** Lets the worker tell once a second, so often, how far its tasks are. */
-    private void tells(String worker, int seconds, int percent, int more, StartOrder... starts) {
+    /** Answers a worker's hold once a second for some seconds, with the progress of its tasks. */
+    private void reportProgress(String worker, int seconds, int percent, int more, StartOrder... starts) {
         for (int s = 1; s <= seconds; s++) {
             d.advance(1_000);
             List<RunStatus> running = new ArrayList<>();
@@ -52,7 +52,7 @@
         }
     }
 
-    private StartOrder startedOnTheFirstOfTwo(long estimateMillis) {
+    private StartOrder startOnTheFirstOfTwo(long estimateMillis) {
         d.listWorkers("w1", "w2");
         d.answerHold("w1", List.of(), List.of());
         d.answerHold("w2", List.of(), List.of());
@@ -62,7 +62,7 @@
         return d.lastStart();
     }
 
-    private void twoJobsOnTheOnlyWorker() {
+    private void startTwoJobsOnTheOnlyWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.submit("a", step(1, 1_000));
@@ -74,18 +74,18 @@
     }
 
     @Nested
-    class StandingStill {
+    class AStalledTask {
 
         @Test
-        void goesOnElsewhereOnceItsRunIsStopped() {
-            StartOrder first = startedOnTheFirstOfTwo(5_000);
+        void resumesElsewhereOnceItsRunIsStopped() {
+            StartOrder first = startOnTheFirstOfTwo(5_000);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
-            tells(first.worker().id(), 2, 10, 0, first);
+            reportProgress(first.worker().id(), 2, 10, 0, first);
             d.answerHold(other, List.of(), List.of());
-            assertTrue(d.port.stops.isEmpty(), "two answers alike may be chance");
-            tells(first.worker().id(), 2, 10, 0, first);
+            assertTrue(d.port.stops.isEmpty(), "two equal answers may be a coincidence");
+            reportProgress(first.worker().id(), 2, 10, 0, first);
             assertEquals(1, d.port.stops.size());
-            assertEquals(1, d.port.starts.size(), "nothing starts elsewhere while it may still run");
+            assertEquals(1, d.port.starts.size(), "nothing may start elsewhere while the run may continue");
             d.scheduler.onStopped(d.port.stops.get(0), OrderOutcome.ACCEPTED);
             d.advance(10);
             d.answerHold(first.worker().id(), List.of(), List.of());
@@ -95,47 +95,48 @@
         }
 
         @Test
-        void isNotALongTaskThatMovesOncePerPercent() {
-            StartOrder first = startedOnTheFirstOfTwo(60_000);
-            tells(first.worker().id(), 5, 10, 0, first);
+        void isNotALongTaskWithSlowButRegularProgress() {
+            StartOrder first = startOnTheFirstOfTwo(60_000);
+            reportProgress(first.worker().id(), 5, 10, 0, first);
             assertTrue(d.port.stops.isEmpty());
         }
 
         /**
-         * A worker that can not be reached for 2.2 to 2.7 s tells nothing of its tasks. They were stopped for that, and the
-         * stops arrived when it was back: work of seconds thrown away, four days with cuts showed it. The log had
-         * {@code stands-still} with {@code since-millis} equal to the time since the worker's last answer.
+         * Guards against stopping the tasks of a worker that is unreachable for 2.2 to 2.7 s and so reports no
+         * progress. The stops arrived when the worker was back, and seconds of work were lost, on four days with
+         * network partitions. The log had {@code stands-still} with {@code since-millis} equal to the time since the
+         * worker's last answer.
          */
         @Test
         void isNotATaskWhoseWorkerIsSilent() {
-            StartOrder first = startedOnTheFirstOfTwo(5_000);
+            StartOrder first = startOnTheFirstOfTwo(5_000);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
-            tells(first.worker().id(), 1, 10, 0, first);
+            reportProgress(first.worker().id(), 1, 10, 0, first);
             for (int i = 0; i < 4; i++) {
                 d.advance(600);
                 d.answerHold(other, List.of(), List.of());
             }
-            assertTrue(d.port.stops.isEmpty(), "nobody knows whether it moves");
-            tells(first.worker().id(), 1, 60, 0, first);
-            assertTrue(d.port.stops.isEmpty(), "it has moved");
+            assertTrue(d.port.stops.isEmpty(), "its progress is unknown");
+            reportProgress(first.worker().id(), 1, 60, 0, first);
+            assertTrue(d.port.stops.isEmpty(), "it has made progress");
         }
 
-        /** The moment must not depend on when the pass was here last: it looks at most workers now and then only. */
+        /** The time must not depend on the previous pass, which skips most workers. */
         @Test
-        void isSeenOnceItsTimeIsUp() {
-            StartOrder first = startedOnTheFirstOfTwo(5_000);
+        void isDetectedAfterTheStallTime() {
+            StartOrder first = startOnTheFirstOfTwo(5_000);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
-            tells(first.worker().id(), 3, 10, 0, first);
+            reportProgress(first.worker().id(), 3, 10, 0, first);
             d.answerHold(other, List.of(), List.of());
             d.advance(200);
-            assertTrue(d.port.stops.isEmpty(), "2.2 s since it moved");
+            assertTrue(d.port.stops.isEmpty(), "2.2 s since its last progress");
             d.advance(1);
             assertEquals(1, d.port.stops.size());
         }
 
         @Test
-        void isSeenInATaskThatBeganAfterTheLastLook() {
-            StartOrder first = startedOnTheFirstOfTwo(20_000);
+        void isDetectedEvenIfItStartedAfterTheLastPass() {
+            StartOrder first = startOnTheFirstOfTwo(20_000);
             d.advance(2_000);
             d.answerHold("w1", first.worker().id().equals("w1") ? List.of(told(first, 10)) : List.of(), List.of());
             d.answerHold("w2", first.worker().id().equals("w2") ? List.of(told(first, 10)) : List.of(), List.of());
@@ -161,7 +162,7 @@
         }
 
         @Test
-        void isALastingTaskThatIsNotAtWorkAnyMore() {
+        void isALongRunningTaskThatIsNoLongerReady() {
             d.listWorkers("w1", "w2");
             d.answerHold("w1", List.of(), List.of());
             d.answerHold("w2", List.of(), List.of());
@@ -174,10 +175,10 @@
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
             String other = first.worker().id().equals("w1") ? "w2" : "w1";
-            tells(first.worker().id(), 60, 100, 0, first);
+            reportProgress(first.worker().id(), 60, 100, 0, first);
             d.answerHold(other, List.of(), List.of());
             assertTrue(d.port.stops.isEmpty());
-            tells(first.worker().id(), 1, 50, 0, first);
+            reportProgress(first.worker().id(), 1, 50, 0, first);
             assertEquals(1, d.port.stops.size());
         }
 
@@ -186,9 +187,9 @@
         }
 
         @Test
-        void isNotATaskThatMoves() {
-            StartOrder first = startedOnTheFirstOfTwo(5_000);
-            tells(first.worker().id(), 8, 10, 1, first);
+        void isNotATaskWithProgress() {
+            StartOrder first = startOnTheFirstOfTwo(5_000);
+            reportProgress(first.worker().id(), 8, 10, 1, first);
             assertTrue(d.port.stops.isEmpty());
         }
     }
@@ -197,20 +198,20 @@
     class ASlowWorker {
 
         @Test
-        void losesWhatTakesLongerThereThanAnewElsewhere() {
-            twoJobsOnTheOnlyWorker();
+        void losesTasksThatFinishSoonerElsewhere() {
+            startTwoJobsOnTheOnlyWorker();
             StartOrder[] both = d.port.starts.toArray(new StartOrder[0]);
             for (StartOrder o : both) {
                 d.scheduler.onStarted(o, OrderOutcome.ACCEPTED);
             }
             d.listWorkers("w1", "w2");
             d.answerHold("w2", List.of(), List.of());
-            tells("w1", 1, 9, 1, both);
+            reportProgress("w1", 1, 9, 1, both);
             assertEquals(2, d.port.stops.size());
         }
 
         @Test
-        void isNotSeenInOneJobThatTakesLongerThanItsCallerGuessed() {
+        void isNotInferredFromOneJobThatExceedsItsEstimate() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", step(2, 1_000));
@@ -221,12 +222,12 @@
             }
             d.listWorkers("w1", "w2");
             d.answerHold("w2", List.of(), List.of());
-            tells("w1", 1, 9, 1, both);
-            assertTrue(d.port.stops.isEmpty(), "all tasks of a job share its caller's error");
+            reportProgress("w1", 1, 9, 1, both);
+            assertTrue(d.port.stops.isEmpty(), "the caller's estimate is wrong for all tasks of a job alike");
         }
 
         @Test
-        void isSeenInATaskThatTakesMuchLongerThanItsSiblings() {
+        void isInferredFromATaskThatIsMuchSlowerThanItsSiblings() {
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", step(5, 1_000));
@@ -238,13 +239,13 @@
             d.answerHold("w2", List.of(), List.of());
             StartOrder second = d.port.starts.get(1);
             d.scheduler.onStarted(second, OrderOutcome.ACCEPTED);
-            tells("w1", 1, 39, 1, second);
+            reportProgress("w1", 1, 39, 1, second);
             assertEquals(1, d.port.stops.size(), "40 of 100 after 1 s, when a sibling took 0.3 s");
         }
 
         @Test
         void keepsItsTasksWhenOneOfThemIsFast() {
-            twoJobsOnTheOnlyWorker();
+            startTwoJobsOnTheOnlyWorker();
             d.port.starts.forEach(o -> d.scheduler.onStarted(o, OrderOutcome.ACCEPTED));
             d.listWorkers("w1", "w2");
             d.answerHold("w2", List.of(), List.of());
--- a/core/src/test/java/org/lupinpaddle/core/run/UnansweredStartsTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnansweredStartsTest.java
@@ -46,12 +46,12 @@
         return starts.due(WORKER, now).stream().map(StopOrder::jobId).sorted().toList();
     }
 
-    /** Guards against late starts that a restarted worker takes for its own. */
+    /** Guards against late starts that a restarted worker accepts. */
     @Nested
-    class ANewLife {
+    class ANewIncarnation {
 
         @Test
-        void isToldToRefuseWhatMayStillArrive() {
+        void rejectsStartsThatMayStillArrive() {
             starts.unanswered(start("a"), true, 1_000);
             assertEquals(List.of(), due(1_500));
             starts.onNewIncarnation("w1", List.of(), 2_000);
@@ -59,7 +59,7 @@
         }
 
         @Test
-        void isToldAgainUntilItAnswers() {
+        void isSentTheStopUntilItAnswers() {
             starts.unanswered(start("a"), true, 1_000);
             starts.onNewIncarnation("w1", List.of(), 2_000);
             StopOrder first = starts.due(WORKER, 2_000).get(0);
@@ -70,7 +70,7 @@
         }
 
         @Test
-        void keepsWhatItRuns() {
+        void keepsItsRunningTasks() {
             starts.unanswered(start("a"), true, 1_000);
             starts.unanswered(start("b"), true, 1_000);
             starts.onNewIncarnation("w1", List.of(running("a")), 2_000);
@@ -78,7 +78,7 @@
         }
 
         @Test
-        void afterThatIsToldToo() {
+        void followedByAnotherIsNotTheOnlyOneToldToReject() {
             starts.unanswered(start("a"), true, 1_000);
             starts.onNewIncarnation("w1", List.of(), 2_000);
             starts.refused(starts.due(WORKER, 2_000).get(0));
@@ -87,14 +87,14 @@
         }
 
         @Test
-        void isToldAtOnceToRefuseWhatWasGivenUpWhileUnderWay() {
+        void rejectsAtOnceStartsThatWereAbandonedInFlight() {
             starts.onNewIncarnation("w1", List.of(), 500);
             starts.unanswered(start("a"), false, 1_000);
             assertEquals(List.of("a"), due(1_000));
         }
 
         @Test
-        void hearsNothingOfOldStarts() {
+        void isNotToldAboutExpiredStarts() {
             starts.unanswered(start("a"), true, 1_000);
             starts.onNewIncarnation("w1", List.of(), 60_000);
             assertEquals(List.of(), due(60_000));
@@ -102,7 +102,7 @@
     }
 
     @Nested
-    class AtTheScheduler {
+    class InTheScheduler {
 
         private final SchedulerDriver d = new SchedulerDriver();
 
@@ -110,9 +110,9 @@
             return d.port.stops.stream().anyMatch(s -> s.jobId().equals("a") && s.run() == 1);
         }
 
-        /** Guards against a late copy of a start that runs again what an earlier life has done. */
+        /** Guards against a late copy of a start that repeats a run completed by an earlier incarnation. */
         @Test
-        void aLifeThatFollowsADroppedOneIsToldToo() {
+        void incarnationAfterADroppedOneIsTold() {
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", 1_000)));
             d.advance(1);
             d.answerHoldAs("w1", 1_000, 10, List.of(), List.of());
--- a/core/src/test/java/org/lupinpaddle/core/run/UnreadableJobTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnreadableJobTest.java
@@ -29,7 +29,10 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** What a job that is left alone has done is known when its record can be read again, by whoever owns it then. */
+/**
+ * The results of a job whose record cannot be read are processed once the record can be read again, by whichever
+ * owner.
+ */
 class UnreadableJobTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -41,7 +44,7 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private void aJobThatCanNotBeReadRuns() {
+    private void runAnUnreadableJob() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.scheduler.onUnreadableJob(JOB);
@@ -49,10 +52,10 @@
         d.advance(500);
     }
 
-    /** An entry of the version that wrote the record follows, or the record is repaired. */
+    /** An entry of the version that wrote the record takes over, or the record is repaired. */
     @Test
     void isNotRunAgainByAnOwnerThatCanReadIt() {
-        aJobThatCanNotBeReadRuns();
+        runAnUnreadableJob();
         d.answerHold("w1", List.of(), List.of(DONE));
         d.advance(2_000);
         long mayForget = d.port.holds.get(d.port.holds.size() - 1).acknowledgedUpTo();
@@ -64,14 +67,14 @@
         next.answerHold("w1", List.of(), mayForget >= DONE.number() ? List.of() : List.of(DONE));
         next.advance(100);
         next.completeSaves();
-        assertEquals(0, next.port.starts.size(), "it ended done, and the worker was told to forget that");
+        assertEquals(0, next.port.starts.size(), "the task is done, and the result has been acknowledged");
     }
 
     @Test
-    void keepsItsWorkerFromBeingCalledEmpty() {
-        aJobThatCanNotBeReadRuns();
+    void preventsItsWorkerFromBeingReportedAsEmpty() {
+        runAnUnreadableJob();
         d.scheduler.onEvacuations(Set.of("w1"), Set.of());
         d.answerHold("w1", RUNS, List.of());
-        assertTrue(d.port.emptied.isEmpty(), "its run would end with the instance");
+        assertTrue(d.port.emptied.isEmpty(), "its run would be lost with the instance");
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/run/UnreadableRecordTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnreadableRecordTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** What an owner does about jobs and workers whose records can not be read. */
+/** Tests the handling of jobs and workers whose records cannot be read. */
 class UnreadableRecordTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
@@ -41,7 +41,7 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private void answering(String... workers) {
+    private void listAndAnswer(String... workers) {
         d.listWorkers(workers);
         for (String w : workers) {
             d.answerHold(w, List.of(), List.of());
@@ -56,8 +56,8 @@
     class AJob {
 
         @Test
-        void runsOnAndIsNotBegunAnew() {
-            answering("w1");
+        void continuesAndIsNotRestarted() {
+            listAndAnswer("w1");
             d.scheduler.onUnreadableJob(JOB);
             d.answerHold("w1", RUNS, List.of());
             d.advance(1_000);
@@ -68,10 +68,10 @@
             assertEquals(List.of(), d.port.saves);
         }
 
-        /** Only its worker can tell what became of it, until its record can be read again. */
+        /** Until the record can be read again, only the worker knows the result. */
         @Test
-        void keepsItsEndOnItsWorker() {
-            answering("w1", "w2");
+        void leavesItsResultOnItsWorker() {
+            listAndAnswer("w1", "w2");
             d.scheduler.onUnreadableJob(JOB);
             RunResult done = new RunResult(1, "a", FIRST, 3, EndKind.DONE, "");
             d.answerHold("w1", List.of(), List.of(done));
@@ -91,8 +91,8 @@
         }
 
         @Test
-        void keepsTheWorkerThatRunsIt() {
-            answering("w1");
+        void keepsItsWorker() {
+            listAndAnswer("w1");
             d.scheduler.onUnreadableJob(JOB);
             d.answerHold("w1", RUNS, List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
@@ -102,7 +102,7 @@
 
         @Test
         void thatIsCancelledIsStopped() {
-            answering("w1");
+            listAndAnswer("w1");
             d.scheduler.onUnreadableJob(JOB);
             d.scheduler.onCancel(JOB);
             d.answerHold("w1", RUNS, List.of());
@@ -111,8 +111,8 @@
         }
 
         @Test
-        void thatIsKnownGoesOnAsItWas() {
-            answering("w1");
+        void thatIsKnownContinues() {
+            listAndAnswer("w1");
             d.submit("a", ONE);
             d.completeSaves();
             int run = d.lastStart().run();
@@ -131,10 +131,10 @@
 
         private static final long LONG_MILLIS = 60_000;
 
-        /** A worker with an unreadable record is left out of the list. */
+        /** A worker with an unreadable record is omitted from the list. */
         @Test
-        void isAskedOnAtTheAddressThatItHadAndGetsNothingNew() {
-            answering("w1");
+        void isPolledAtItsOldAddressAndGetsNoNewTasks() {
+            listAndAnswer("w1");
             d.submit("a", ONE);
             d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
@@ -156,13 +156,13 @@
         }
 
         @Test
-        void thatIsListedAgainGetsNewWork() {
-            answering("w1");
+        void thatIsListedAgainGetsNewTasks() {
+            listAndAnswer("w1");
             d.listWorkers();
             d.submit("a", ONE);
             d.completeSaves();
             assertEquals(List.of(), d.port.starts);
-            answering("w1");
+            listAndAnswer("w1");
             d.completeSaves();
             assertEquals("w1", d.lastStart().worker().id());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/UnresponsiveWorkerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/UnresponsiveWorkerTest.java
@@ -26,35 +26,35 @@
 import org.lupinpaddle.core.capacity.WorkerLoad;
 import org.lupinpaddle.core.job.StepSpec;
 
-/** Whether a worker that left an order unanswered counts as out of reach. */
+/** Tests when a worker that left an order unanswered counts as unreachable. */
 class UnresponsiveWorkerTest {
 
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
-    // As long as a start waits for its answer.
+    // The timeout of a start.
     private static final long CALL_MILLIS = 500;
     private static final long ROUND_TRIP_MILLIS = 5;
-    // As long as a hold waits on a worker that runs nothing when it is sent.
+    // The long-poll time of a hold on an idle worker.
     private static final long IDLE_WAIT_MILLIS = 2_000;
-    // Records that change within this time are written together.
-    private static final long GATHERING_MILLIS = 50;
+    // Changes within this time are written together.
+    private static final long BATCH_MILLIS = 50;
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private void handIn(String job) {
+    private void submitAndSave(String job) {
         d.submit(job, ONE);
-        d.advance(GATHERING_MILLIS);
+        d.advance(BATCH_MILLIS);
         d.completeSaves();
     }
 
-    private StartOrder starts(String job) {
-        handIn(job);
+    private StartOrder submitAndStart(String job) {
+        submitAndSave(job);
         StartOrder s = d.lastStart();
         assertEquals(job, s.jobId());
         return s;
     }
 
-    private void onlyWorkerAnswers() {
+    private void listTheOnlyWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
         d.advance(ROUND_TRIP_MILLIS);
@@ -69,12 +69,12 @@
     }
 
     @Nested
-    class Placing {
+    class Placement {
 
         @Test
-        void goesOnOnceTheNextStartIsAnswered() {
-            onlyWorkerAnswers();
-            StartOrder first = starts("a");
+        void resumesOnceTheNextStartIsAnswered() {
+            listTheOnlyWorker();
+            StartOrder first = submitAndStart("a");
             d.advance(CALL_MILLIS);
             d.scheduler.onStarted(first, OrderOutcome.UNKNOWN);
             d.advance(CALL_MILLIS);
@@ -82,74 +82,74 @@
             assertNotEquals(first, again);
             d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(again, OrderOutcome.ACCEPTED);
-            handIn("b");
-            assertTrue(isStarted("b"), "the worker has answered; a hold that waits for an end says no more");
+            submitAndSave("b");
+            assertTrue(isStarted("b"), "the worker has answered; a pending long poll proves nothing more");
         }
 
         @Test
-        void goesOnWhenALaterOrderWasAnsweredMeanwhile() {
-            onlyWorkerAnswers();
-            StartOrder lost = starts("a");
-            StartOrder answered = starts("b");
+        void continuesIfALaterOrderWasAnswered() {
+            listTheOnlyWorker();
+            StartOrder lost = submitAndStart("a");
+            StartOrder answered = submitAndStart("b");
             d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
             d.advance(CALL_MILLIS);
             d.scheduler.onStarted(lost, OrderOutcome.UNKNOWN);
-            handIn("c");
+            submitAndSave("c");
             assertTrue(isStarted("c"));
         }
 
         @Test
-        void waitsWhenAllAnswersAreOlderThanTheOrder() {
-            onlyWorkerAnswers();
-            StartOrder answered = starts("a");
+        void waitsIfAllAnswersAreOlderThanTheOrder() {
+            listTheOnlyWorker();
+            StartOrder answered = submitAndStart("a");
             d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
             d.advance(ROUND_TRIP_MILLIS);
-            StartOrder lost = starts("b");
+            StartOrder lost = submitAndStart("b");
             d.advance(CALL_MILLIS);
             d.scheduler.onStarted(lost, OrderOutcome.UNKNOWN);
-            handIn("c");
+            submitAndSave("c");
             assertFalse(isStarted("c"));
         }
     }
 
     @Nested
-    class Looking {
+    class Polling {
 
         @Test
-        void countsAHoldByWhenItsAnswerWasDue() {
-            onlyWorkerAnswers();
-            StartOrder answered = starts("a");
+        void dependsOnWhenTheAnswerToAHoldWasDue() {
+            listTheOnlyWorker();
+            StartOrder answered = submitAndStart("a");
             d.advance(ROUND_TRIP_MILLIS);
             d.scheduler.onStarted(answered, OrderOutcome.ACCEPTED);
             d.advance(IDLE_WAIT_MILLIS + CALL_MILLIS);
             d.leaveHoldUnanswered("w1");
-            handIn("b");
-            assertFalse(isStarted("b"), "the worker was last heard long before the hold was to be answered");
+            submitAndSave("b");
+            assertFalse(isStarted("b"), "the last response was long before the answer to the hold was due");
         }
 
         @Test
-        void endsTheDoubtAlsoWhereTheHoldFailedBeforeItWasDue() {
-            onlyWorkerAnswers();
+        void clearsTheUnresponsiveStateIfTheHoldFailedBeforeItWasDue() {
+            listTheOnlyWorker();
             d.leaveHoldUnanswered("w1");
             d.advance(ROUND_TRIP_MILLIS);
             d.answerHold("w1", List.of(), List.of());
-            handIn("a");
+            submitAndSave("a");
             assertTrue(isStarted("a"));
         }
 
         @Test
-        void followsTheFirstSilenceAtOnce() {
-            onlyWorkerAnswers();
+        void followsTheFirstUnansweredCallAtOnce() {
+            listTheOnlyWorker();
             int before = d.port.holds.size();
             d.leaveHoldUnanswered("w1");
             assertEquals(before + 1, d.port.holds.size());
         }
 
         @Test
-        void doesNotWaitForAnEnd() {
-            onlyWorkerAnswers();
+        void doesNotUseLongPolling() {
+            listTheOnlyWorker();
             d.leaveHoldUnanswered("w1");
             d.advance(CALL_MILLIS);
             assertEquals(0, d.port.holds.get(d.port.holds.size() - 1).waitMillis());
@@ -160,15 +160,15 @@
     class Reporting {
 
         @Test
-        void countsTheWorkerAsReachedAfterOneSilence() {
-            onlyWorkerAnswers();
+        void countsTheWorkerAsReachableAfterOneUnansweredCall() {
+            listTheOnlyWorker();
             d.leaveHoldUnanswered("w1");
-            assertTrue(isReached(), "one lost answer is no reason to fetch an instance in its place");
+            assertTrue(isReached(), "one lost answer must not cause a replacement of the instance");
         }
 
         @Test
-        void countsItAsOutOfReachWhenTheNextLookIsUnansweredToo() {
-            onlyWorkerAnswers();
+        void countsItAsUnreachableAfterTwoUnansweredCalls() {
+            listTheOnlyWorker();
             d.leaveHoldUnanswered("w1");
             d.advance(CALL_MILLIS);
             d.leaveHoldUnanswered("w1");
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -33,12 +33,12 @@
 import org.lupinpaddle.core.job.TaskRecord;
 import org.lupinpaddle.core.placement.WorkerIncarnation;
 
-/** A worker that restarts under its id: its results, its clock and its runs start anew. */
+/** Tests workers that restart under their ids, which resets their results, clocks and runs. */
 class WorkerRestartTest {
 
     private static final long FIRST_BIRTH = 1_000_000;
     private static final long SECOND_BIRTH = 1_060_000;
-    // The clock of a life counts from its start.
+    // The clock of an incarnation counts from its start.
     private static final long OLD_CLOCK = 60_000;
     private static final long NEW_CLOCK = 500;
 
@@ -56,8 +56,8 @@
         return new RunResult(number, job, TASK, run, EndKind.DONE, "");
     }
 
-    /** Lists workers that have answered a hold in their first lives. */
-    private void listed(String... ids) {
+    /** Lists workers that have answered a hold in their first incarnations. */
+    private void listInFirstIncarnation(String... ids) {
         d.scheduler.onWorkers(List.of(ids).stream()
                 .map(id -> SchedulerDriver.workerBornAt(id, FIRST_BIRTH))
                 .toList());
@@ -67,8 +67,8 @@
         }
     }
 
-    /** Starts a job of one task, which a worker accepts. */
-    private StartOrder started(String job) {
+    /** Starts a job with one task, which a worker accepts. */
+    private StartOrder submitAndStart(String job) {
         d.submit(job, ONE);
         d.advance(50);
         d.completeSaves();
@@ -79,12 +79,12 @@
         return s;
     }
 
-    /** Lets the first life of a worker end jobs, and lets their results become durable. */
-    private void firstLifeEnds(String worker, String... jobs) {
+    /** Completes jobs on the first incarnation of a worker and makes their results durable. */
+    private void completeOnFirstIncarnation(String worker, String... jobs) {
         long number = 0;
         for (String job : jobs) {
             number++;
-            StartOrder s = started(job);
+            StartOrder s = submitAndStart(job);
             d.answerHoldAs(worker, FIRST_BIRTH, OLD_CLOCK + number, List.of(), List.of(done(number, job, s.run())));
             d.advance(50);
             d.completeSaves();
@@ -104,35 +104,35 @@
     }
 
     @Nested
-    class TheResultsOfALaterLife {
+    class TheResultsOfALaterIncarnation {
 
-        /** Guards against passing over results as known because an earlier life of the worker used their numbers. */
+        /** Guards against skipping results because an earlier incarnation of the worker used their numbers. */
         @Test
-        void areProcessedThoughAnEarlierLifeUsedTheirNumbers() {
-            listed("w1");
-            firstLifeEnds("w1", "a", "b", "c");
+        void areProcessedThoughAnEarlierIncarnationUsedTheirNumbers() {
+            listInFirstIncarnation("w1");
+            completeOnFirstIncarnation("w1", "a", "b", "c");
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
-            StartOrder s = started("x");
+            StartOrder s = submitAndStart("x");
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "x", s.run())));
             assertEquals(List.of("a", "b", "c", "x"), ended(JobState.COMPLETED));
         }
 
-        /** Guards against acknowledging results of a later life that nobody has processed. */
+        /** Guards against acknowledging results of a later incarnation that nobody has processed. */
         @Test
-        void areNotAcknowledgedByTheNumbersOfAnEarlierLife() {
-            listed("w1");
-            firstLifeEnds("w1", "a", "b", "c");
+        void areNotAcknowledgedByTheNumbersOfAnEarlierIncarnation() {
+            listInFirstIncarnation("w1");
+            completeOnFirstIncarnation("w1", "a", "b", "c");
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             d.advance(10);
             assertEquals(0, d.lastHold("w1").acknowledgedUpTo());
         }
 
-        /** Guards against acknowledging results of a life that has begun since the worker answered last. */
+        /** Guards against acknowledging results of an incarnation that started after the worker's last answer. */
         @Test
         void areNotAcknowledgedAfterASilence() {
-            listed("w1");
-            firstLifeEnds("w1", "a", "b", "c");
+            listInFirstIncarnation("w1");
+            completeOnFirstIncarnation("w1", "a", "b", "c");
             assertEquals(3, d.lastHold("w1").acknowledgedUpTo());
             d.advance(600);
             d.leaveHoldUnanswered("w1");
@@ -145,7 +145,7 @@
     }
 
     /** Returns the newest record of a job's task. */
-    private TaskRecord written() {
+    private TaskRecord lastRecord() {
         d.advance(50);
         List<List<SchedulerPort.ProgressWrite>> saves = d.port.saves;
         return saves.get(saves.size() - 1).get(0).progress().tasks().get(0);
@@ -154,36 +154,36 @@
     @Nested
     class ARun {
 
-        /** Guards against waiting for a stop, or a deadline, of what was lost with an earlier life. */
+        /** Guards against waiting for a stop or a deadline of a run that was lost with an earlier incarnation. */
         @Test
-        void thatWasLostIsStartedAgainAtOnceAndCountsAsACrash() {
-            listed("w1", "w2");
-            StartOrder s = started("a");
+        void thatWasLostIsRestartedAtOnceAndCountsAsACrash() {
+            listInFirstIncarnation("w1", "w2");
+            StartOrder s = submitAndStart("a");
             String lost = s.worker().id();
             d.answerHoldAs(lost, FIRST_BIRTH, OLD_CLOCK + 100, List.of(running("a", 1)), List.of());
             d.answerHoldAs(lost, SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
-            assertEquals(1, written().knownCrashes());
+            assertEquals(1, lastRecord().knownCrashes());
             d.completeSaves();
             assertEquals(2, d.lastStart().run());
             assertEquals(List.of(), d.port.stops);
         }
 
-        /** Guards against a second run of what the new life has accepted already. */
+        /** Guards against a second run of a task that the new incarnation has already accepted. */
         @Test
-        void thatTheNewLifeRunsGoesOn() {
-            listed("w1", "w2");
-            StartOrder s = started("a");
+        void inTheNewIncarnationContinues() {
+            listInFirstIncarnation("w1", "w2");
+            StartOrder s = submitAndStart("a");
             d.answerHoldAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK, List.of(running("a", 1)), List.of());
             d.answerHoldAs(s.worker().id(), SECOND_BIRTH, NEW_CLOCK + 100, List.of(), List.of(done(1, "a", 1)));
             assertEquals(List.of("a"), ended(JobState.COMPLETED));
             assertEquals(1, d.port.starts.size());
         }
 
-        /** Guards against a second run beside one that was given up for lost and is alive. */
+        /** Guards against a second run in parallel to one that was considered lost and is alive. */
         @Test
-        void thatWasGivenUpAndIsFoundAliveGoesOn() {
-            listed("w1");
-            StartOrder s = started("a");
+        void thatWasConsideredLostAndIsAliveContinues() {
+            listInFirstIncarnation("w1");
+            StartOrder s = submitAndStart("a");
             d.advance(3_000);
             d.scheduler.onRunningWorkers(Set.of(), d.now);
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
@@ -197,11 +197,11 @@
             assertEquals(List.of("a"), ended(JobState.COMPLETED));
         }
 
-        /** Guards against a second run of what an earlier life has done and says so late. */
+        /** Guards against a second run of a task that an earlier incarnation completed and reports late. */
         @Test
-        void thatAnEarlierLifeHasDoneStaysDone() {
-            listed("w1");
-            StartOrder s = started("a");
+        void completedByAnEarlierIncarnationStaysDone() {
+            listInFirstIncarnation("w1");
+            StartOrder s = submitAndStart("a");
             HoldOrder early = d.lastHold("w1");
             long sentAt = d.now;
             d.leaveHoldUnanswered("w1");
@@ -219,22 +219,28 @@
     @Nested
     class AnOrder {
 
-        /** Guards against deadlines by the clock of an earlier life: the new one would cut them short or stretch them. */
+        /**
+         * Guards against deadlines by the clock of an earlier incarnation, which would be too early or too late on
+         * the new one.
+         */
         @Test
-        void carriesADeadlineOfTheNewLifesClock() {
-            listed("w1");
+        void carriesADeadlineByTheNewIncarnationsClock() {
+            listInFirstIncarnation("w1");
             d.advance(10);
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
-            StartOrder s = started("a");
+            StartOrder s = submitAndStart("a");
             assertTrue(s.deadlineMillis() < NEW_CLOCK + 2 * SchedulerDriver.HOLD_MILLIS, () -> "" + s.deadlineMillis());
         }
 
-        /** Guards against a deadline by the clock of a life that has ended in the silence, which another owner can not know of. */
+        /**
+         * Guards against a deadline by the clock of an incarnation that ended unobserved, which another owner cannot
+         * know about.
+         */
         @Test
-        void toPollCarriesNoDeadlineAfterASilence() {
-            listed("w1");
-            started("a");
+        void thatIsAHoldCarriesNoDeadlineAfterASilence() {
+            listInFirstIncarnation("w1");
+            submitAndStart("a");
             assertTrue(d.lastHold("w1").deadlineMillis() > OLD_CLOCK);
             d.advance(1_000);
             d.leaveHoldUnanswered("w1");
@@ -247,10 +253,10 @@
                     d.lastHold("w1").deadlineMillis());
         }
 
-        /** Guards against placing by the room and labels that an earlier life had. */
+        /** Guards against placing by the room and labels of an earlier incarnation. */
         @Test
-        void waitsForTheEntryOfTheNewLife() {
-            listed("w1");
+        void waitsForTheEntryOfTheNewIncarnation() {
+            listInFirstIncarnation("w1");
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             d.submit("a", ONE);
             d.advance(50);
@@ -264,13 +270,13 @@
     }
 
     @Nested
-    class WhatIsHeldAgainstALife {
+    class EvidenceAgainstAnIncarnation {
 
-        /** Guards against a task that waits for other workers since an earlier life of this one failed it. */
+        /** Guards against a task that avoids this worker because an earlier incarnation failed it. */
         @Test
-        void doesNotHoldForTheNext() {
-            listed("w1");
-            StartOrder s = started("a");
+        void doesNotApplyToTheNextOne() {
+            listInFirstIncarnation("w1");
+            StartOrder s = submitAndStart("a");
             RunResult failed = new RunResult(1, "a", TASK, s.run(), EndKind.FAILED, "");
             d.answerHoldAs("w1", FIRST_BIRTH, OLD_CLOCK + 100, List.of(), List.of(failed));
             d.advance(50);
@@ -285,30 +291,33 @@
     }
 
     @Nested
-    class AWorkerThatStatesNoBirth {
+    class AWorkerWithoutAStatedBirth {
 
-        /** Guards against passing over the results of a life that only its clock tells from the one before. */
+        /**
+         * Guards against skipping the results of an incarnation that only its clock distinguishes from the previous
+         * one.
+         */
         @Test
-        void isKnownToHaveRestartedByItsClock() {
+        void isDetectedAsRestartedByItsClock() {
             d.listWorkers("w1");
             d.answerHoldAs("w1", 0, OLD_CLOCK, List.of(), List.of());
-            StartOrder a = started("a");
+            StartOrder a = submitAndStart("a");
             d.answerHoldAs("w1", 0, OLD_CLOCK + 100, List.of(), List.of(done(1, "a", a.run())));
             d.advance(50);
             d.completeSaves();
             d.answerHoldAs("w1", 0, NEW_CLOCK, List.of(), List.of());
-            StartOrder b = started("b");
+            StartOrder b = submitAndStart("b");
             d.answerHoldAs("w1", 0, NEW_CLOCK + 100, List.of(), List.of(done(1, "b", b.run())));
             assertEquals(List.of("a", "b"), ended(JobState.COMPLETED));
         }
     }
 
     @Nested
-    class AnAnswerThatWasOvertaken {
+    class AnOutdatedAnswer {
 
-        /** Guards against taking answers that overtake each other for a restart. */
+        /** Guards against mistaking answers that arrive out of order for a restart. */
         @Test
-        void endsNoLife() {
+        void endsNoIncarnation() {
             d.listWorkers("w1");
             long sentAt = d.now;
             HoldOrder early = d.lastHold("w1");
@@ -327,7 +336,7 @@
     class AListOfInstancesWithoutTheWorker {
 
         private StartOrder silentSinceItsStart() {
-            listed("w1");
+            listInFirstIncarnation("w1");
             d.submit("a", ONE);
             d.advance(50);
             d.completeSaves();
@@ -339,20 +348,22 @@
             return d.lastStart();
         }
 
-        /** Guards against a second run beside the one that the next life of the worker begins by a start under way. */
+        /**
+         * Guards against a second run in parallel to the one that the next incarnation starts by an order in flight.
+         */
         @Test
-        void endsNoRunWhoseStartIsUnderWay() {
+        void endsNoRunWhoseStartIsInFlight() {
             StartOrder s = silentSinceItsStart();
             d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertFalse(isLost());
             d.scheduler.onStarted(s, OrderOutcome.UNKNOWN);
             d.advance(300);
-            assertEquals(1, d.port.starts.size(), "no further start goes out, which would be under way again");
+            assertEquals(1, d.port.starts.size(), "no further start may be in flight");
             d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertTrue(isLost());
         }
 
-        /** Guards against the same where the worker's entry already shows its next life. */
+        /** Guards against the same failure if the worker's entry already describes the next incarnation. */
         @Test
         void endsNoRunOfAWorkerWhoseEntryIsNewer() {
             StartOrder s = silentSinceItsStart();
@@ -365,7 +376,7 @@
     }
 
     @Nested
-    class AnAnswerThatWasOvertakenByTheEndOfARun {
+    class AnAnswerThatIsOlderThanTheEndOfARun {
 
         private static final long CALL_MILLIS = 3;
 
@@ -373,11 +384,11 @@
         private long sentAt;
 
         private void runEndsWhileAnOlderAnswerIsOnItsWay() {
-            listed("w1");
-            StartOrder s = started("a");
+            listInFirstIncarnation("w1");
+            StartOrder s = submitAndStart("a");
             early = d.lastHold("w1");
             sentAt = d.now;
-            // The entry of another life lets a further poll be sent, and keeps new runs away.
+            // The entry of another incarnation allows another hold to be sent, and prevents new placements.
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             d.advance(CALL_MILLIS);
             RunResult stopped = new RunResult(1, "a", TASK, s.run(), EndKind.STOPPED, "");
@@ -392,17 +403,17 @@
             d.advance(1);
         }
 
-        /** Guards against taking a run that has ended for one that is alive, which keeps a stopped task off every worker. */
+        /** Guards against treating an ended run as alive, which keeps a stopped task from being placed anywhere. */
         @Test
-        void doesNotBringTheRunBack() {
+        void doesNotRestoreTheRun() {
             runEndsWhileAnOlderAnswerIsOnItsWay();
             olderAnswerArrives();
             assertEquals(List.of(), d.port.events(SchedulerEvent.Kind.RUN_FOUND));
         }
 
-        /** Guards against two polls of a worker that are under way together for good. */
+        /** Guards against having two holds of a worker in flight permanently. */
         @Test
-        void doesNotLetAFurtherPollBeSent() {
+        void doesNotCauseAnotherHold() {
             runEndsWhileAnOlderAnswerIsOnItsWay();
             int holds = d.port.holds.size();
             olderAnswerArrives();
@@ -411,28 +422,34 @@
     }
 
     @Nested
-    class ALifeThatFallsSilent {
+    class AnIncarnationThatBecomesSilent {
 
         private static final long LONGEST_HOLD_MILLIS = 10_000;
 
-        /** Guards against a second run while a deadline by the earlier life's clock still keeps the first one alive. */
+        /**
+         * Guards against a second run while a deadline by the earlier incarnation's clock still keeps the first one
+         * alive.
+         */
         @Test
-        void mayKeepItsRunsForAsLongAsAnyWorkerDoes() {
-            listed("w1");
+        void mayKeepItsRunsForTheMaximumTime() {
+            listInFirstIncarnation("w1");
             d.advance(10);
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
-            started("a");
+            submitAndStart("a");
             d.advance(LONGEST_HOLD_MILLIS - 500);
             assertFalse(isLost());
             d.advance(2_000);
             assertTrue(isLost());
         }
 
-        /** Guards against the same by a start that was under way at the restart and is carried out seconds later. */
+        /**
+         * Guards against the same failure caused by a start that was in flight at the restart and is executed seconds
+         * later.
+         */
         @Test
-        void mayKeepItsRunsByAStartThatWasUnderWay() {
-            listed("w1");
+        void mayKeepRunsByAStartThatWasInFlight() {
+            listInFirstIncarnation("w1");
             d.submit("a", ONE);
             d.advance(50);
             d.completeSaves();
@@ -459,16 +476,19 @@
             d.answerHoldAs("w1", SECOND_BIRTH, NEW_CLOCK, List.of(), List.of());
         }
 
-        /** Guards against starting a task without end since each owner takes its lost run for one that never began. */
+        /**
+         * Guards against restarting a task without limit because each owner takes its lost run for one that never
+         * started.
+         */
         @Test
-        void aRunOfAnEarlierLifeMayHaveCrashedIt() {
+        void runOfAnEarlierIncarnationMayHaveCrashedIt() {
             recovers(FIRST_BIRTH);
-            assertEquals(1, written().knownDoubtfulCrashes());
+            assertEquals(1, lastRecord().knownDoubtfulCrashes());
         }
 
-        /** Guards against a second run while a deadline by the earlier life's clock still keeps the first one alive. */
+        /** Guards against a second run while a deadline by the earlier incarnation's clock still keeps the first one alive. */
         @Test
-        void aRunOfAnEarlierLifeThatIsShownMayBeKeptForAsLongAsAnyWorkerDoes() {
+        void listedRunOfAnEarlierIncarnationMayBeKeptForTheMaximumTime() {
             TaskRecord r = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "", 0, 0, FIRST_BIRTH);
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             d.submit("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
@@ -480,33 +500,33 @@
             assertFalse(isLost());
         }
 
-        /** Guards against blaming a task whose record, by an earlier version, does not name a life. */
+        /** Guards against blaming a task whose record, written by an earlier version, does not name an incarnation. */
         @Test
-        void aRunOfAnUnknownLifeCountsForNothing() {
+        void runOfAnUnknownIncarnationIsNotCounted() {
             recovers(null);
-            assertEquals(0, written().knownDoubtfulCrashes());
+            assertEquals(0, lastRecord().knownDoubtfulCrashes());
         }
 
         @Test
-        void theRecordNamesTheLife() {
-            listed("w1");
-            started("a");
+        void recordNamesTheIncarnation() {
+            listInFirstIncarnation("w1");
+            submitAndStart("a");
             d.submit("b", ONE);
-            assertEquals(FIRST_BIRTH, written().knownWorkerBornMillis());
+            assertEquals(FIRST_BIRTH, lastRecord().knownWorkerBornMillis());
         }
     }
 
     @Nested
     class AnUnreadableBirth {
 
-        /** Guards against losing a worker, or a pass, to a birth that nobody can read. */
+        /** Guards against losing a worker, or aborting a pass, because of an unreadable birth. */
         @Test
         void isLoggedOnceAndTheWorkerIsUsed() {
             long unreadable = WorkerIncarnation.UNREADABLE_BIRTH;
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", unreadable)));
             d.advance(1);
             d.answerHoldAs("w1", unreadable, OLD_CLOCK, List.of(), List.of());
-            started("a");
+            submitAndStart("a");
             long logged = d.port.events.stream()
                     .filter(e -> e.kind() == SchedulerEvent.Kind.BIRTH_UNREADABLE)
                     .count();
