--- a/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
@@ -36,7 +36,7 @@
     private static final long MIN_REMAINING_MILLIS = 600;
 
     private final ServiceState state;
-    private final Map<LiveStep, Knowledge> known = new HashMap<>();
+    private final Map<LiveStep, Knowledge> knowledgeByStep = new HashMap<>();
 
     private record Ticket(String text, long validUntil) {}
 
@@ -59,7 +59,7 @@
 
     /** Returns the ticket for starting the step's tasks on a worker; empty if there is no valid one. */
     String ticket(LiveStep step, LiveWorker w) {
-        Knowledge k = known.get(step);
+        Knowledge k = knowledgeByStep.get(step);
         Ticket t = k == null ? null : k.tickets.get(w.facts().id());
         return t == null || t.validUntil - MIN_REMAINING_MILLIS < state.now() ? "" : t.text;
     }
@@ -67,28 +67,28 @@
     /** Requests advice on workers that could run the step's tasks and for which none is known. */
     void requestAdvice(LiveStep step, List<LiveWorker> workers) {
         long now = state.now();
-        Knowledge k = known.computeIfAbsent(step, s -> new Knowledge());
+        Knowledge k = knowledgeByStep.computeIfAbsent(step, s -> new Knowledge());
         if (k.requestInFlight || now < k.nextRequestAt) {
             return;
         }
-        LiveTask any = step.tasks.get(0);
+        LiveTask anyTask = step.tasks.get(0);
         List<String> unknown = workers.stream()
                 .filter(w ->
                         !k.refused.contains(w.facts().id()) && ticket(step, w).isEmpty())
-                .filter(w -> Placer.mayCarry(w, any.placementRequirements(now)))
+                .filter(w -> Placer.mayCarry(w, anyTask.placementRequirements(now)))
                 .map(w -> w.facts().id())
                 .sorted()
                 .limit(MAX_WORKERS_PER_REQUEST)
                 .toList();
         if (!unknown.isEmpty()) {
             k.requestInFlight = true;
-            state.port.advise(new AdviceRequest(any.stepTime, unknown));
+            state.port.advise(new AdviceRequest(anyTask.stepTime, unknown));
         }
     }
 
     /** Handles a response; null if there was none. */
     void onAdvice(LiveStep step, AdviceRequest order, @Nullable AdviceResponse answer) {
-        Knowledge k = known.get(step);
+        Knowledge k = knowledgeByStep.get(step);
         if (k == null) {
             return;
         }
@@ -107,7 +107,7 @@
 
     /** Discards the step's ticket for a worker that rejected it. */
     void onTicketRefused(LiveStep step, LiveWorker w) {
-        Knowledge k = known.get(step);
+        Knowledge k = knowledgeByStep.get(step);
         if (k != null) {
             k.tickets.remove(w.facts().id());
         }
@@ -115,7 +115,7 @@
 
     /** Forgets a worker: advice and tickets apply to one incarnation. */
     void forget(String worker) {
-        for (Knowledge k : known.values()) {
+        for (Knowledge k : knowledgeByStep.values()) {
             k.tickets.remove(worker);
             k.refused.remove(worker);
         }
@@ -123,6 +123,6 @@
 
     /** Forgets the steps of jobs that have ended. */
     void forgetEnded() {
-        known.keySet().removeIf(s -> s.job.state.ended() || s.isDone());
+        knowledgeByStep.keySet().removeIf(s -> s.job.state.ended() || s.isDone());
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/Evacuator.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Evacuator.java
@@ -44,10 +44,10 @@
 
     void run() {
         for (LiveWorker w : List.copyOf(state.workers.values())) {
-            boolean wanted = state.evacuating.contains(w.facts().id());
-            if (wanted && canBeRemoved(w)) {
+            boolean evacuating = state.evacuating.contains(w.facts().id());
+            if (evacuating && canBeRemoved(w)) {
                 state.port.emptied(w.facts().id());
-            } else if (wanted || w.facts().draining() || isLeavingUnannounced(w)) {
+            } else if (evacuating || w.facts().draining() || isLeavingUnannounced(w)) {
                 evacuate(w);
             }
         }
@@ -59,8 +59,8 @@
      * since the entry may only have lapsed.
      */
     private boolean isLeavingUnannounced(LiveWorker w) {
-        boolean answers = state.now() - w.lastAnswerAt <= state.timing.silentMillis();
-        return !w.listed && answers && state.workersConfirmedAt - w.unlistedSince > ENTRY_RETURN_MILLIS;
+        boolean isAnswering = state.now() - w.lastAnswerAt <= state.timing.silentMillis();
+        return !w.listed && isAnswering && state.workersConfirmedAt - w.unlistedSince > ENTRY_RETURN_MILLIS;
     }
 
     /**
@@ -110,8 +110,9 @@
      * task keeps the worker.
      */
     private boolean shouldYield(LiveWorker w, LiveTask t) {
-        boolean gives = canResumeElsewhere(t) || (isLate(t) && w.tasks.stream().noneMatch(this::mustFinishInPlace));
-        return gives
+        boolean canYield =
+                canResumeElsewhere(t) || (isLate(t) && w.tasks.stream().noneMatch(this::mustFinishInPlace));
+        return canYield
                 && t.remainingMillis(state.expectedMillis(t.liveStep))
                         > state.timing.stopMillis() + YIELD_MARGIN_MILLIS;
     }
@@ -130,8 +131,8 @@
             // itself is left in place.
             return;
         }
-        boolean allowed = w.facts().draining() || unavailableSiblings(t) < Math.max(1, t.step.mayMiss());
-        if (allowed && state.canMoveElsewhere(t)) {
+        boolean mayMove = w.facts().draining() || unavailableSiblings(t) < Math.max(1, t.step.mayMiss());
+        if (mayMove && state.canMoveElsewhere(t)) {
             state.stop(t, w.facts().draining() ? "worker-drains" : "worker-is-emptied");
         }
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/FaultyWorkerDetector.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/FaultyWorkerDetector.java
@@ -59,8 +59,9 @@
 
     /** Returns whether a successful run was slow, in which case it is no evidence in the worker's favour. */
     private boolean wasSlow(LiveTask t) {
-        long took = state.now() - t.startedAt;
-        return t.startedFromScratch && took > StragglerPass.slowFactor(t.liveStep) * state.expectedMillis(t.liveStep);
+        long durationMillis = state.now() - t.startedAt;
+        return t.startedFromScratch
+                && durationMillis > StragglerPass.slowFactor(t.liveStep) * state.expectedMillis(t.liveStep);
     }
 
     /** Counts a stalled task, which is as strong evidence as a failed run. */
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveJob.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveJob.java
@@ -83,13 +83,13 @@
     }
 
     private long criticalPathMillis(int step, RunTimeEstimator times) {
-        long following = 0;
+        long longestSuccessor = 0;
         for (int s = 0; s < spec.steps().size(); s++) {
             if (spec.steps().get(s).after().contains(step)) {
-                following = Math.max(following, criticalPathMillis(s, times));
+                longestSuccessor = Math.max(longestSuccessor, criticalPathMillis(s, times));
             }
         }
-        return following + ownMillis(step, times);
+        return longestSuccessor + ownMillis(step, times);
     }
 
     /** The duration of a step is that of its longest task. */
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
@@ -295,15 +295,15 @@
 
     Wish placementRequirements(long now) {
         avoidedWorkers.values().removeIf(a -> a.worker.ended);
-        Set<String> domains = failures >= ATTEMPTS_BEFORE_OTHER_RACK ? failedDomains : Set.of();
+        Set<String> avoidedDomains = failures >= ATTEMPTS_BEFORE_OTHER_RACK ? failedDomains : Set.of();
         boolean onlyProven = now < provenOnlyUntil;
-        Set<String> workers = onlyProven ? unprovenWorkers() : avoidedWorkers.keySet();
+        Set<String> excluded = onlyProven ? unprovenWorkers() : avoidedWorkers.keySet();
         return new Wish(
                 step,
                 stepTime,
-                workers,
+                excluded,
                 now < avoidUntil,
-                domains,
+                avoidedDomains,
                 suspicion.company(),
                 now < separationUntil,
                 onlyProven);
@@ -350,14 +350,24 @@
     }
 
     TaskRecord toRecord() {
-        String w = worker == null ? "" : worker.facts().id();
+        String workerId = worker == null ? "" : worker.facts().id();
         // Also set while a superfluous run is being stopped, because the information that the work is done is kept
         // nowhere else.
         boolean done = phase == Phase.DONE || workDone;
         // A completed task is never resumed; only gang members resume from each other's checkpoints.
         String resumeFrom = done && !step.gang() ? "" : checkpoint;
-        Long born = worker != null && incarnation.hasBirth() ? (Long) incarnation.bornMillis() : null;
+        Long bornMillis = worker != null && incarnation.hasBirth() ? (Long) incarnation.bornMillis() : null;
         return new TaskRecord(
-                id.time(), id.step(), id.index(), run, failures, done, w, resumeFrom, crashes, doubtfulCrashes, born);
+                id.time(),
+                id.step(),
+                id.index(),
+                run,
+                failures,
+                done,
+                workerId,
+                resumeFrom,
+                crashes,
+                doubtfulCrashes,
+                bornMillis);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
@@ -275,8 +275,8 @@
 
     @Override
     public Room free() {
-        boolean closed = isolatedCount > 0 && tasks.stream().anyMatch(this::isIsolated);
-        if (closed || (onProbation && tasks.stream().anyMatch(this::isUnproven))) {
+        boolean reserved = isolatedCount > 0 && tasks.stream().anyMatch(this::isIsolated);
+        if (reserved || (onProbation && tasks.stream().anyMatch(this::isUnproven))) {
             return Room.NONE;
         }
         return facts.room().minus(used);
@@ -289,8 +289,8 @@
 
     /** Returns whether the task must not share the worker, because it may still crash it as it has crashed others. */
     boolean isIsolated(LiveTask t) {
-        boolean passed = t.phase == LiveTask.Phase.RUNNING && lastAnswerAt - t.startedAt >= t.isolationMillis();
-        return t.suspicion.requiresIsolation() && !passed;
+        boolean provenHarmless = t.phase == LiveTask.Phase.RUNNING && lastAnswerAt - t.startedAt >= t.isolationMillis();
+        return t.suspicion.requiresIsolation() && !provenHarmless;
     }
 
     /** Returns whether the task may still reveal that the worker is faulty. */
--- a/core/src/main/java/org/lupinpaddle/core/run/LoadSummary.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LoadSummary.java
@@ -28,17 +28,17 @@
 public record LoadSummary(int waiting, int hopeless, int running, int workers, int silent, int needed) {
 
     static LoadSummary of(ServiceState state, int needed) {
-        long wall = state.wallNow();
+        long wallMillis = state.wallNow();
         int waiting = 0;
         int hopeless = 0;
         for (LiveJob job : state.activeJobs.values()) {
             for (LiveStep s : job.steps) {
-                if (!s.isReady(wall)) {
+                if (!s.isReady(wallMillis)) {
                     continue;
                 }
                 int n = s.waiting();
                 waiting += n;
-                hopeless += StepUrgency.of(s, wall).tier() == StepUrgency.Tier.PAST ? n : 0;
+                hopeless += StepUrgency.of(s, wallMillis).tier() == StepUrgency.Tier.PAST ? n : 0;
             }
         }
         int running =
--- a/core/src/main/java/org/lupinpaddle/core/run/PacingPass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PacingPass.java
@@ -49,12 +49,12 @@
             if (!w.hasFillerTasks()) {
                 continue;
             }
-            List<LiveTask> filling = w.tasks.stream()
+            List<LiveTask> fillers = w.tasks.stream()
                     .filter(t -> t.step.fills() && t.phase == Phase.RUNNING)
                     .toList();
-            if (!filling.isEmpty()) {
-                filling.forEach(t -> decide(w, t));
-                filling.forEach(t -> send(w, t));
+            if (!fillers.isEmpty()) {
+                fillers.forEach(t -> decide(w, t));
+                fillers.forEach(t -> send(w, t));
             }
         }
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/PersistencePass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PersistencePass.java
@@ -58,7 +58,7 @@
     private long windowStart = Long.MIN_VALUE / 2;
     private int sentInWindow;
     /** Whether the last write was not answered or was rejected. */
-    private boolean failing;
+    private boolean lastWriteFailed;
     /** Whether batching is off because the owner waits until everything is written. */
     private boolean flushing;
 
@@ -85,7 +85,7 @@
     }
 
     private boolean mayWrite(long now) {
-        int limit = failing ? MAX_IN_FLIGHT_FAILING : MAX_IN_FLIGHT;
+        int limit = lastWriteFailed ? MAX_IN_FLIGHT_FAILING : MAX_IN_FLIGHT;
         return now >= retryAt && writesInFlight < limit && sentInWindow < MAX_PER_WINDOW;
     }
 
@@ -116,9 +116,9 @@
         List<SchedulerPort.ProgressWrite> batch = new ArrayList<>();
         int rows = ROWS_FOR_OWNERSHIP;
         int tasks = 0;
-        Iterator<LiveJob> waiting = state.unsaved.values().iterator();
-        while (waiting.hasNext()) {
-            LiveJob job = waiting.next();
+        Iterator<LiveJob> pending = state.unsaved.values().iterator();
+        while (pending.hasNext()) {
+            LiveJob job = pending.next();
             if (job.saveInFlight || (job.savedAlone && !batch.isEmpty())) {
                 continue;
             }
@@ -130,7 +130,7 @@
             }
             batch.add(new SchedulerPort.ProgressWrite(job.spec.key(), job.version, progress));
             job.saveInFlight = true;
-            waiting.remove();
+            pending.remove();
             if (job.savedAlone) {
                 return batch;
             }
@@ -141,7 +141,7 @@
     /** Handles records that have been saved. */
     void saved(List<SchedulerPort.ProgressWrite> batch) {
         writesInFlight--;
-        failing = false;
+        lastWriteFailed = false;
         for (SchedulerPort.ProgressWrite s : batch) {
             LiveJob job = state.jobs.get(s.job());
             if (job != null) {
@@ -185,7 +185,7 @@
     /** Handles records that may not be durable; they are written again, not before {@code retryMillis}. */
     void failed(List<SchedulerPort.ProgressWrite> batch, long retryMillis) {
         writesInFlight--;
-        failing = retryMillis > 0;
+        lastWriteFailed = retryMillis > 0;
         retryAt = state.now() + retryMillis;
         for (SchedulerPort.ProgressWrite s : batch) {
             LiveJob job = state.jobs.get(s.job());
--- a/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
@@ -73,12 +73,12 @@
 
     /** Returns the steps that have waiting tasks and might fit, the most urgent first. */
     private List<StepUrgency> waitingStepsByUrgency(Room maxFree) {
-        long wall = state.wallNow();
+        long wallMillis = state.wallNow();
         List<StepUrgency> steps = new ArrayList<>();
         for (LiveJob j : state.activeJobs.values()) {
             for (LiveStep s : j.steps) {
-                if (s.hasWaiting() && maxFree.holds(s.room) && s.isReady(wall) && state.hasUniqueId(j)) {
-                    steps.add(StepUrgency.of(s, wall));
+                if (s.hasWaiting() && maxFree.holds(s.room) && s.isReady(wallMillis) && state.hasUniqueId(j)) {
+                    steps.add(StepUrgency.of(s, wallMillis));
                 }
             }
         }
@@ -91,11 +91,11 @@
      * nowhere.
      */
     private static Room maxFree(List<LiveWorker> workers) {
-        Room most = workers.get(0).free();
+        Room max = workers.get(0).free();
         for (LiveWorker w : workers) {
-            most = most.orMore(w.free());
+            max = max.orMore(w.free());
         }
-        return most;
+        return max;
     }
 
     /** Places a step; if its queue requires advice, only on permitted workers. */
--- a/core/src/main/java/org/lupinpaddle/core/run/RackSelector.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RackSelector.java
@@ -39,11 +39,11 @@
         long waiting = step.tasks.stream()
                 .filter(t -> t.phase == LiveTask.Phase.WAITING)
                 .count();
-        Room need = Room.of(step.spec);
+        Room taskRoom = Room.of(step.spec);
         return racks.entrySet().stream()
-                .filter(r -> capacityFor(need, r.getValue()) >= waiting)
+                .filter(r -> capacityFor(taskRoom, r.getValue()) >= waiting)
                 .max(Comparator.<Map.Entry<String, List<LiveWorker>>>comparingLong(r -> placedOnRack(step, r.getKey()))
-                        .thenComparingLong(r -> capacityFor(need, r.getValue())))
+                        .thenComparingLong(r -> capacityFor(taskRoom, r.getValue())))
                 .map(Map.Entry::getValue)
                 .orElse(workers);
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
@@ -316,12 +316,12 @@
      * ended since.
      */
     void processResults(LiveWorker w, HoldResponse answer) {
-        List<RunResult> others = new ArrayList<>();
+        List<RunResult> otherResults = new ArrayList<>();
         for (RunResult e : w.results().newResults(answer)) {
-            processResult(w, e, others);
+            processResult(w, e, otherResults);
             w.results().markProcessed(e.number());
         }
-        logOtherResults(w, others);
+        logOtherResults(w, otherResults);
     }
 
     /** Processes the completed runs of an answer that arrived after its worker had been declared lost. */
@@ -409,22 +409,22 @@
     }
 
     /** Logs one line per answer: a new owner receives hundreds of results that earlier owners have processed. */
-    private void logOtherResults(LiveWorker w, List<RunResult> others) {
-        if (others.isEmpty()) {
+    private void logOtherResults(LiveWorker w, List<RunResult> otherResults) {
+        if (otherResults.isEmpty()) {
             return;
         }
-        String summary = others.stream()
+        String summary = otherResults.stream()
                 .limit(MAX_RESULTS_LOGGED)
                 .map(e -> e.number() + ":" + e.jobId() + "." + e.task() + "/" + e.run() + ":" + e.kind())
                 .collect(Collectors.joining(","));
-        state.note(SchedulerEvent.Kind.OTHER_ENDS_TOLD, w, "count=" + others.size() + " ends=" + summary);
+        state.note(SchedulerEvent.Kind.OTHER_ENDS_TOLD, w, "count=" + otherResults.size() + " ends=" + summary);
     }
 
     /** Processes a result. Results that do not belong to the newest run of a task are added to {@code others}. */
-    private void processResult(LiveWorker w, RunResult e, List<RunResult> others) {
+    private void processResult(LiveWorker w, RunResult e, List<RunResult> otherResults) {
         LiveTask t = state.task(e.jobId(), e.task());
         if (t == null) {
-            others.add(e);
+            otherResults.add(e);
             if (state.unreadableJobs.contains(e.jobId())) {
                 w.results().retain(e.number());
             }
@@ -433,7 +433,7 @@
         if (t.worker == w && t.run == e.run()) {
             applyResult(w, t, e);
         } else {
-            others.add(e);
+            otherResults.add(e);
             if (completesUnfinishedTask(t, e)) {
                 // An older run completed the work, so no further run is needed.
                 completedByOlderRun(t);
@@ -460,13 +460,13 @@
         if (e.kind().countsAsAttempt()) {
             countFailure(w, t);
         }
-        boolean done = t.workDone || (e.kind().finishes() && !t.step.longRunning());
-        release(t, done ? Phase.DONE : Phase.WAITING);
+        boolean taskDone = t.workDone || (e.kind().finishes() && !t.step.longRunning());
+        release(t, taskDone ? Phase.DONE : Phase.WAITING);
         if (t.liveStep.isDone()) {
             state.runTimes.recordMaxToMeanRatio(t.job.spec.key().queue(), t.liveStep.maxToMeanRatio());
         }
         if (t.step.gang()) {
-            endGang(t, done);
+            endGang(t, taskDone);
         }
         failIfExhausted(t);
         completeIfDone(t.job);
@@ -482,16 +482,17 @@
 
     private void recordRunTime(LiveTask t, EndKind kind) {
         if (kind.finishes() && t.startedFromScratch && t.startedAt != Long.MAX_VALUE) {
-            long took = Math.max(1, state.now() - t.startedAt);
-            state.runTimes.recordRunTime(t.job.spec.key().queue(), took);
-            t.liveStep.recordRunTime(took);
+            long durationMillis = Math.max(1, state.now() - t.startedAt);
+            state.runTimes.recordRunTime(t.job.spec.key().queue(), durationMillis);
+            t.liveStep.recordRunTime(durationMillis);
         }
     }
 
     private void countFailure(LiveWorker w, LiveTask t) {
-        boolean counted = t.step.gang() && t.liveStep.tasks.stream().anyMatch(m -> m != t && m.lastFailedRun == t.run);
+        boolean alreadyCounted =
+                t.step.gang() && t.liveStep.tasks.stream().anyMatch(m -> m != t && m.lastFailedRun == t.run);
         t.lastFailedRun = t.run;
-        if (!counted) {
+        if (!alreadyCounted) {
             t.failures++;
         }
         t.recordFailureOn(w, state.now());
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
@@ -51,59 +51,59 @@
             }
             add(job, demands);
         }
-        Room usual = smallestWorkerRoom();
-        double ahead = state.trend.ahead(state.now(), demands.all.need(usual));
+        Room smallestRoom = smallestWorkerRoom();
+        double ahead = state.trend.ahead(state.now(), demands.all.need(smallestRoom));
         int needed = (int) Math.max(demands.all.fewest(), Math.ceil(ahead));
         demands.onTime.flows(state.arrivals.room(state.now()));
-        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(usual)));
-        int late = (int) Math.ceil(demands.late.need(usual));
+        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(smallestRoom)));
+        int late = (int) Math.ceil(demands.late.need(smallestRoom));
         return new ServiceReport(pending, needed, firm, late, workerLoads());
     }
 
     private void add(LiveJob job, Demands demands) {
-        long wall = state.wallNow();
+        long wallMillis = state.wallNow();
         for (int time = 0; time < job.spec.repeat().times(); time++) {
-            if (wall >= job.spec.repeat().dueMillis(time)) {
-                addTime(job, time, wall, demands);
+            if (wallMillis >= job.spec.repeat().dueMillis(time)) {
+                addIteration(job, time, wallMillis, demands);
             }
         }
     }
 
-    private void addTime(LiveJob job, int time, long wall, Demands demands) {
+    private void addIteration(LiveJob job, int time, long wallMillis, Demands demands) {
         List<LiveStep> steps =
                 job.steps.stream().filter(s -> s.time == time && !s.isDone()).toList();
-        long left = job.remainingMillis(time);
+        long remaining = job.remainingMillis(time);
         // The remaining work should end by the objective or, failing that, before late completion loses its value.
-        long onTime = Math.max(left, StepUrgency.Tier.ON_TIME.deadlineMillis(job, time) - wall);
-        long late = Math.max(left, StepUrgency.Tier.LATE.deadlineMillis(job, time) - wall);
-        StepUrgency.Tier tier = StepUrgency.Tier.of(job, time, wall + left);
-        double part = parallelShare(steps, onTime, wall);
+        long onTime = Math.max(remaining, StepUrgency.Tier.ON_TIME.deadlineMillis(job, time) - wallMillis);
+        long late = Math.max(remaining, StepUrgency.Tier.LATE.deadlineMillis(job, time) - wallMillis);
+        StepUrgency.Tier tier = StepUrgency.Tier.of(job, time, wallMillis + remaining);
+        double share = parallelShare(steps, onTime, wallMillis);
         for (LiveStep s : steps) {
-            add(s, onTime, part, demands.all);
+            add(s, onTime, share, demands.all);
             if (s.spec.longRunning() || tier == StepUrgency.Tier.ON_TIME) {
-                add(s, onTime, part, demands.onTime);
+                add(s, onTime, share, demands.onTime);
             } else if (tier == StepUrgency.Tier.LATE) {
-                add(s, late, part, demands.late);
+                add(s, late, share, demands.late);
             }
         }
     }
 
     /** Returns the share of the steps' total demand that can be used at one time, since steps wait for each other. */
-    private double parallelShare(List<LiveStep> steps, long available, long wall) {
+    private double parallelShare(List<LiveStep> steps, long available, long wallMillis) {
         double requested = 0;
         double ready = 0;
-        double widest = 0;
+        double largestStep = 0;
         for (LiveStep s : steps) {
             double cpu = (double) s.room.cpuMillis() * s.unfinished();
             requested += cpu * Demand.share(state.expectedMillis(s), available);
-            widest = Math.max(widest, cpu);
-            ready += s.isReady(wall) ? cpu : 0;
+            largestStep = Math.max(largestStep, cpu);
+            ready += s.isReady(wallMillis) ? cpu : 0;
         }
-        double usable = Math.max(ready, widest);
+        double usable = Math.max(ready, largestStep);
         return requested <= usable ? 1 : usable / requested;
     }
 
-    private void add(LiveStep s, long available, double part, Demand demand) {
+    private void add(LiveStep s, long available, double share, Demand demand) {
         long expected = state.expectedMillis(s);
         for (LiveTask t : s.tasks) {
             if (t.phase == Phase.DONE) {
@@ -113,7 +113,7 @@
             if (s.spec.longRunning()) {
                 demand.addLasting(s.room);
             } else {
-                demand.addFinite(s.room, t.remainingMillis(expected), available, part, t.phase.occupiesWorker());
+                demand.addFinite(s.room, t.remainingMillis(expected), available, share, t.phase.occupiesWorker());
             }
         }
         if (s.spec.longRunning() && s.spec.perWorkerMost() > 0) {
@@ -133,9 +133,9 @@
     private List<WorkerLoad> workerLoads() {
         List<WorkerLoad> loads = new ArrayList<>();
         for (LiveWorker w : state.workers.values()) {
-            int finite = w.tasks.size() - w.longRunningCount();
+            int finiteTasks = w.tasks.size() - w.longRunningCount();
             loads.add(new WorkerLoad(
-                    w.facts().id(), w.longRunningCount(), finite, !state.isSilent(w) && !w.isUnreachable()));
+                    w.facts().id(), w.longRunningCount(), finiteTasks, !state.isSilent(w) && !w.isUnreachable()));
         }
         loads.sort(Comparator.comparing(WorkerLoad::worker));
         return loads;
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
@@ -396,8 +396,8 @@
     private void dropWorkers() {
         long now = state.now();
         for (LiveWorker w : List.copyOf(state.workers.values())) {
-            boolean silent = now - w.lastAnswerAt > state.timing.silentMillis();
-            if (silent && now > w.allRunsEndedAt() && (!w.tasks.isEmpty() || !w.listed)) {
+            boolean isSilent = now - w.lastAnswerAt > state.timing.silentMillis();
+            if (isSilent && now > w.allRunsEndedAt() && (!w.tasks.isEmpty() || !w.listed)) {
                 releaseOrForget(w);
             } else if (!w.listed && w.tasks.isEmpty() && now - w.unlistedSince > UNLISTED_KEEP_MILLIS) {
                 state.note(SchedulerEvent.Kind.WORKER_GONE, w, "tasks=0 evidence=unlisted " + w.describe());
--- a/core/src/main/java/org/lupinpaddle/core/run/StepUrgency.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/StepUrgency.java
@@ -24,7 +24,7 @@
  * first served would make every job late. So would least slack alone: each job would start at the last moment, and
  * the next one would take the room of its last tasks.
  */
-record StepUrgency(LiveStep step, int priority, Tier tier, boolean begun, long latestStartMillis) {
+record StepUrgency(LiveStep step, int priority, Tier tier, boolean started, long latestStartMillis) {
 
     // Safety factor on the expected duration of a job that is started while others wait: room becomes free gradually,
     // and the longest of several tasks often takes longer than expected. On replays of overloads 1.25 completed more
@@ -64,8 +64,8 @@
     static final Comparator<StepUrgency> MOST_URGENT_FIRST = (a, b) -> {
         int byPriority = Integer.compare(a.priority, b.priority);
         int byTier = byPriority != 0 ? byPriority : a.tier.compareTo(b.tier);
-        int byBegun = byTier != 0 ? byTier : Boolean.compare(b.begun, a.begun);
-        int byStart = byBegun != 0 ? byBegun : Long.compare(a.latestStartMillis, b.latestStartMillis);
+        int byStarted = byTier != 0 ? byTier : Boolean.compare(b.started, a.started);
+        int byStart = byStarted != 0 ? byStarted : Long.compare(a.latestStartMillis, b.latestStartMillis);
         return byStart != 0 ? byStart : compareByKey(a.step, b.step);
     };
 
@@ -82,12 +82,12 @@
         if (s.spec.longRunning()) {
             return new StepUrgency(s, priority, Tier.ON_TIME, true, dueAt);
         }
-        boolean begun = job.started || job.hasTasksOnWorkers();
+        boolean started = job.started || job.hasTasksOnWorkers();
         Tier tier = Tier.of(job, s.time, wallMillis + s.criticalPathMillis);
-        if (!begun && tier == Tier.ON_TIME) {
-            long withMargin = Math.round(START_MARGIN * s.criticalPathMillis);
-            tier = Tier.of(job, s.time, wallMillis + withMargin);
+        if (!started && tier == Tier.ON_TIME) {
+            long durationWithMargin = Math.round(START_MARGIN * s.criticalPathMillis);
+            tier = Tier.of(job, s.time, wallMillis + durationWithMargin);
         }
-        return new StepUrgency(s, priority, tier, begun, dueAt + job.objectiveMillis() - s.criticalPathMillis);
+        return new StepUrgency(s, priority, tier, started, dueAt + job.objectiveMillis() - s.criticalPathMillis);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/StragglerPass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/StragglerPass.java
@@ -107,13 +107,13 @@
         // Cheap checks first: the expected time is looked up only for the few tasks without recent progress.
         if (t.step.longRunning()) {
             boolean atWork = t.percent >= COMPLETE_PERCENT;
-            long since = now - t.startedAt;
-            return !atWork && since > WARM_UP_MILLIS && since > WARM_UP_FACTOR * state.expectedMillis(t.liveStep);
+            long elapsed = now - t.startedAt;
+            return !atWork && elapsed > WARM_UP_MILLIS && elapsed > WARM_UP_FACTOR * state.expectedMillis(t.liveStep);
         }
-        long since = now - t.lastProgressAt;
-        return since > STALL_MILLIS
+        long elapsed = now - t.lastProgressAt;
+        return elapsed > STALL_MILLIS
                 && t.answersWithoutProgress >= STALL_ANSWERS
-                && since > state.expectedMillis(t.liveStep) / STALL_SHARE;
+                && elapsed > state.expectedMillis(t.liveStep) / STALL_SHARE;
     }
 
     private void moveOffSlowWorker(LiveWorker w) {
@@ -124,9 +124,9 @@
             double factor = slowness(w, t);
             if (factor > slowFactor(t.liveStep)) {
                 slow.add(t);
-                boolean siblings = t.liveStep.meanRunMillis() > 0;
+                boolean hasSiblings = t.liveStep.meanRunMillis() > 0;
                 boolean newJob = slowJobs.add(t.job.spec.key());
-                evidence += siblings ? EVIDENCE_OF_SIBLINGS : newJob ? 1 : 0;
+                evidence += hasSiblings ? EVIDENCE_OF_SIBLINGS : newJob ? 1 : 0;
             } else if (factor > 0 && factor < HEALTHY_FACTOR) {
                 return;
             }
--- a/core/src/test/java/org/lupinpaddle/core/run/CrashTrackerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/CrashTrackerTest.java
@@ -327,7 +327,7 @@
     @Nested
     class ATaskThatIsGivenUp {
 
-        private JobProgress last() {
+        private JobProgress lastProgress() {
             d.advance(50);
             return d.port.saves.get(d.port.saves.size() - 1).get(0).progress();
         }
@@ -338,8 +338,10 @@
             d.submit("a", progressWithCrashes(2, 0, false), ONE);
             String on = startAccepted().worker().id();
             d.answerAsOtherIncarnation(on);
-            assertEquals(JobState.FAILED, last().state());
-            assertEquals("3 workers crashed under task 0.0.0, the last was " + on, last().reason());
+            assertEquals(JobState.FAILED, lastProgress().state());
+            assertEquals(
+                    "3 workers crashed under task 0.0.0, the last was " + on,
+                    lastProgress().reason());
         }
 
         @Test
@@ -347,7 +349,7 @@
             workers("w1", "w2");
             d.submit("a", progressWithCrashes(0, 3, false), ONE);
             d.answerAsOtherIncarnation(startAccepted().worker().id());
-            assertEquals(JobState.RUNNING, last().state(), "one of four is certain");
+            assertEquals(JobState.RUNNING, lastProgress().state(), "one of four is certain");
         }
 
         /** Users depend on the other tasks, and the caller limits how many may be unavailable. */
@@ -364,8 +366,8 @@
                     .worker()
                     .id();
             d.answerAsOtherIncarnation(guilty);
-            assertEquals(JobState.RUNNING, last().state());
-            assertTrue(last().tasks().get(0).done());
+            assertEquals(JobState.RUNNING, lastProgress().state());
+            assertTrue(lastProgress().tasks().get(0).done());
             assertTrue(d.port.stops.isEmpty());
             int starts = d.port.starts.size();
             saveAll();
--- a/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/EvacuatorTest.java
@@ -35,7 +35,7 @@
 
     private static final StepSpec ONE =
             StepSpec.builder(1, SchedulerDriver.NEED).build();
-    private static final StepSpec THREE_LASTING = StepSpec.builder(3, SchedulerDriver.NEED)
+    private static final StepSpec THREE_LONG_RUNNING = StepSpec.builder(3, SchedulerDriver.NEED)
             .longRunning(true, 1)
             .perWorkerMost(1)
             .build();
@@ -45,7 +45,7 @@
     @Nested
     class AnEvacuation {
 
-        private RunStatus atWork(int index, int run, int percent) {
+        private RunStatus servingStatus(int index, int run, int percent) {
             return new RunStatus("a", new TaskId(0, 0, index), run, "", percent, -1);
         }
 
@@ -54,12 +54,12 @@
             for (String w : List.of("w1", "w2", "w3", "w4", "w5")) {
                 d.answerHold(w, List.of(), List.of());
             }
-            d.submit("a", THREE_LASTING);
+            d.submit("a", THREE_LONG_RUNNING);
             d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
             d.advance(10);
             for (StartOrder s : List.copyOf(d.port.starts)) {
-                d.answerHold(s.worker().id(), List.of(atWork(s.task().index(), 1, 100)), List.of());
+                d.answerHold(s.worker().id(), List.of(servingStatus(s.task().index(), 1, 100)), List.of());
             }
         }
 
@@ -92,8 +92,9 @@
             d.advance(1_400);
             StartOrder leaving = d.port.starts.get(0);
             StartOrder heard = d.port.starts.get(1);
-            d.answerHold(leaving.worker().id(), List.of(atWork(leaving.task().index(), 1, 100)), List.of());
-            d.answerHold(heard.worker().id(), List.of(atWork(heard.task().index(), 1, 100)), List.of());
+            d.answerHold(
+                    leaving.worker().id(), List.of(servingStatus(leaving.task().index(), 1, 100)), List.of());
+            d.answerHold(heard.worker().id(), List.of(servingStatus(heard.task().index(), 1, 100)), List.of());
             d.advance(200);
             d.scheduler.onEvacuations(Set.of(leaving.worker().id()), Set.of());
             d.scheduler.tick();
@@ -110,8 +111,8 @@
                     .longRunning(true, 1)
                     .build();
             d.submit("a", new JobProgress(JobState.RUNNING, placed, "", 0), two);
-            d.answerHold("w1", List.of(atWork(0, 1, 100)), List.of());
-            d.answerHold("w2", List.of(atWork(1, 1, 100)), List.of());
+            d.answerHold("w1", List.of(servingStatus(0, 1, 100)), List.of());
+            d.answerHold("w2", List.of(servingStatus(1, 1, 100)), List.of());
             d.answerHold("w3", List.of(), List.of());
             d.scheduler.onEvacuations(Set.of("w1"), Set.of());
             d.advance(SchedulerDriver.STOP_MILLIS);
@@ -211,7 +212,7 @@
         private void unlistOneOfThree() {
             d.listWorkers("w1", "w2", "w3", "w4", "w5");
             answerAll();
-            d.submit("a", THREE_LASTING);
+            d.submit("a", THREE_LONG_RUNNING);
             d.completeSaves();
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
             d.advance(10);
--- a/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/GangTest.java
@@ -60,7 +60,7 @@
                 .orElseThrow();
     }
 
-    private void ends(TaskId t, EndKind kind, String checkpoint) {
+    private void answerWithResult(TaskId t, EndKind kind, String checkpoint) {
         StartOrder s = startOf(t);
         d.advance(10);
         d.answerHold(s.worker().id(), List.of(), List.of(new RunResult(1, "a", t, s.run(), kind, checkpoint)));
@@ -83,7 +83,7 @@
         void shareTheRunNumberAndTheCheckpoint() {
             acceptBothStarts();
             assertEquals(startOf(FIRST).run(), startOf(SECOND).run());
-            ends(FIRST, EndKind.FAILED, "saved-1");
+            answerWithResult(FIRST, EndKind.FAILED, "saved-1");
             assertEquals(1, d.port.stops.size(), "the other member is stopped");
             StopOrder stop = d.port.stops.get(0);
             d.scheduler.onStopped(stop, OrderOutcome.ACCEPTED);
@@ -104,7 +104,7 @@
         @Test
         void areAllDoneWhenOneIsDone() {
             acceptBothStarts();
-            ends(FIRST, EndKind.DONE, "");
+            answerWithResult(FIRST, EndKind.DONE, "");
             d.completeSaves();
             d.advance(50);
             assertEquals(1, d.port.stops.size(), "the other member is stopped");
--- a/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
@@ -38,7 +38,7 @@
 class LastAttemptTest {
 
     /** The longest time for which a job may have nothing running while there is room. */
-    private static final long NOTHING_AT_WORK_MILLIS = 3_000;
+    private static final long MAX_IDLE_MILLIS = 3_000;
 
     private static final StepSpec TWO =
             StepSpec.builder(2, SchedulerDriver.NEED).build();
@@ -52,19 +52,19 @@
                 .orElseThrow();
     }
 
-    private void accept() {
+    private void acceptStarts() {
         d.completeSaves();
         List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
     /** Makes the newest run of a task fail and returns its worker. */
-    private String fails(TaskId t, long number, RunStatus... others) {
+    private String failRun(TaskId t, long number, RunStatus... others) {
         StartOrder s = startOf(t);
         RunResult e = new RunResult(number, "a", t, s.run(), EndKind.FAILED, "");
         d.advance(50);
         d.answerHold(s.worker().id(), List.of(others), List.of(e));
         d.advance(50);
-        accept();
+        acceptStarts();
         return s.worker().id();
     }
 
@@ -78,10 +78,10 @@
             d.answerHold(w, List.of(), List.of());
         }
         d.submit("a", TWO);
-        accept();
+        acceptStarts();
         assertEquals(startOf(task(0)).worker(), startOf(task(1)).worker(), "both run on one worker");
-        fails(task(0), 1, new RunStatus("a", task(1), 1, "", 50, -1));
-        fails(task(0), 1);
+        failRun(task(0), 1, new RunStatus("a", task(1), 1, "", 50, -1));
+        failRun(task(0), 1);
         assertEquals(3, d.port.starts.size() - (startOf(task(0)).run() == 3 ? 1 : 0));
     }
 
@@ -104,7 +104,7 @@
                 List.of(
                         new RunResult(1, "a", task(0), 1, EndKind.FAILED, ""),
                         new RunResult(2, "a", task(1), second.run(), EndKind.DONE, "")));
-        accept();
+        acceptStarts();
         assertEquals(3, startOf(task(0)).run());
         assertEquals(second.worker(), startOf(task(0)).worker());
     }
@@ -113,7 +113,7 @@
     @Test
     void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
         failTwoAttemptsOfTheFirstTask();
-        for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
+        for (int i = 0; i < MAX_IDLE_MILLIS / 250; i++) {
             d.advance(250);
             for (String w : List.of("w1", "w2", "w3")) {
                 StartOrder s = startOf(task(1));
@@ -133,17 +133,17 @@
             d.answerHold(w, List.of(), List.of());
         }
         d.submit("b", StepSpec.builder(1, SchedulerDriver.NEED).build());
-        accept();
+        acceptStarts();
         String proven = d.lastStart().worker().id();
         d.advance(50);
         d.answerHold(proven, List.of(), List.of(new RunResult(1, "b", task(0), 1, EndKind.DONE, "")));
         d.submit("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
         d.advance(50);
-        accept();
+        acceptStarts();
         assertEquals("a", d.lastStart().jobId());
         assertEquals(proven, d.lastStart().worker().id());
-        fails(task(0), 2);
-        fails(task(0), 1);
+        failRun(task(0), 2);
+        failRun(task(0), 1);
         assertEquals(3, d.lastStart().run());
     }
 
@@ -162,7 +162,7 @@
                 "",
                 0);
 
-        private void takesOver() {
+        private void takeOverAfterTwoFailures() {
             d.listWorkers("w1", "w2");
             d.answerHold("w1", List.of(), List.of());
             d.submit("a", TWO_FAILED, TWO);
@@ -171,7 +171,7 @@
 
         @Test
         void waitsForAWorkerWithASuccessfulRun() {
-            takesOver();
+            takeOverAfterTwoFailures();
             assertTrue(d.port.starts.isEmpty(), "no run has succeeded on the first worker yet");
             d.answerHold("w2", List.of(), List.of(new RunResult(1, "a", task(1), 1, EndKind.DONE, "")));
             d.completeSaves();
@@ -180,8 +180,8 @@
 
         @Test
         void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
-            takesOver();
-            for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
+            takeOverAfterTwoFailures();
+            for (int i = 0; i < MAX_IDLE_MILLIS / 250; i++) {
                 d.advance(250);
                 d.answerHold("w1", List.of(), List.of());
                 d.completeSaves();
--- a/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PacingPassTest.java
@@ -128,7 +128,7 @@
 
         private final SchedulerDriver next = new SchedulerDriver();
 
-        private void followsWith(StepSpec... steps) {
+        private void takeOverWith(StepSpec... steps) {
             next.listWorkers("w1");
             List<TaskRecord> held = new ArrayList<>();
             List<RunStatus> running = new ArrayList<>();
@@ -157,7 +157,7 @@
 
         @Test
         void isSetToFullSpeedIfThereIsNoServingTask() {
-            followsWith(fills());
+            takeOverWith(fills());
             assertEquals(1, next.port.paces.size());
             assertEquals(100, next.port.paces.get(0).percent());
         }
@@ -168,7 +168,7 @@
          */
         @Test
         void startsSlowlyIfThereIsAServingTask() {
-            followsWith(serves(), fills());
+            takeOverWith(serves(), fills());
             assertEquals(1, next.port.paces.size());
             assertEquals(40, next.port.paces.get(0).percent());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
@@ -32,7 +32,7 @@
 /** Tests the size of writes, and records that the store rejects permanently. */
 class PersistencePassTest {
 
-    private static final long GATHERING_MILLIS = 50;
+    private static final long BATCH_MILLIS = 50;
 
     private final SchedulerDriver d = new SchedulerDriver();
 
@@ -40,7 +40,7 @@
         return StepSpec.builder(tasks, new StepSpec.Need(1, 1, 0)).build();
     }
 
-    private void begins() {
+    private void startTask() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
     }
@@ -51,14 +51,14 @@
         /** 15 jobs of 1,000 tasks take 1.2 MB in one call, which exceeds the timeout of a call on a 7 Mbit/s link. */
         @Test
         void ofWritesIsLimitedByTheirTasks() {
-            begins();
+            startTask();
             for (int i = 0; i < 15; i++) {
                 d.submit("job" + i, step(1_000));
             }
             Set<Integer> sizes = Set.of();
             int written = 0;
             for (int round = 0; round < 15; round++) {
-                d.advance(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 sizes = d.port.saves.stream().map(List::size).collect(Collectors.toSet());
                 written += d.port.saves.stream().mapToInt(List::size).sum();
                 assertTrue(Set.of(1).containsAll(sizes), "records in one write: " + sizes);
@@ -69,11 +69,11 @@
 
         @Test
         void ofWritesOfSmallJobsIsNotLimitedByTasks() {
-            begins();
+            startTask();
             for (int i = 0; i < 15; i++) {
                 d.submit("job" + i, step(10));
             }
-            d.advance(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             assertTrue(d.port.saves.stream().anyMatch(s -> s.size() > 10));
         }
     }
@@ -91,12 +91,12 @@
 
         @Test
         void isWrittenWithoutItsTasks() {
-            begins();
+            startTask();
             d.submit("a", step(300));
-            d.advance(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             d.completeSaves();
             d.scheduler.onCancel(new JobKey("q", "a"));
-            d.advance(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             List<SchedulerPort.ProgressWrite> refused = d.port.saves.remove(0);
             assertTrue(refused.get(0).progress().tasks().size() > 100);
             d.scheduler.onSaveRejected(refused);
@@ -131,7 +131,7 @@
 
         @Test
         void sustainsTheChangeRateOfALargeService() {
-            begins();
+            startTask();
             for (int i = 0; i < JOBS; i++) {
                 d.submit("job" + i, step(1));
             }
@@ -140,7 +140,7 @@
 
         @Test
         void getsNoMoreWritesThanAFastOne() {
-            begins();
+            startTask();
             for (int i = 0; i < JOBS; i++) {
                 d.submit("job" + i, step(1));
             }
@@ -168,33 +168,33 @@
             }
         }
 
-        private boolean starts(String job) {
+        private boolean isStarted(String job) {
             return d.port.starts.stream().anyMatch(s -> s.jobId().equals(job));
         }
 
         @Test
         void doNotBlockOtherJobs() {
-            begins();
+            startTask();
             for (int i = 0; i < 5; i++) {
                 d.submit("job" + i, step(1));
             }
             for (int round = 0; round < 10; round++) {
-                d.advance(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 answerAllBut("job2");
             }
-            d.advance(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             for (int i = 0; i < 5; i++) {
-                assertEquals(i != 2, starts("job" + i), "job" + i);
+                assertEquals(i != 2, isStarted("job" + i), "job" + i);
             }
         }
 
         @Test
         void endTheirJob() {
-            begins();
+            startTask();
             d.submit("large", step(2));
             List<SchedulerPort.ProgressWrite> written = new ArrayList<>();
             for (int round = 0; round < 5; round++) {
-                d.advance(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 d.port.saves.forEach(written::addAll);
                 answerAllBut("large");
             }
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
@@ -35,7 +35,7 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     /** Returns a step whose task needs a whole worker. */
-    private static StepSpec wide(long estimateMillis) {
+    private static StepSpec wholeWorkerStep(long estimateMillis) {
         return StepSpec.builder(1, new StepSpec.Need(4_000, 100, 0))
                 .estimateMillis(estimateMillis)
                 .build();
@@ -44,7 +44,7 @@
     private void fillTheOnlyWorker() {
         d.listWorkers("w1");
         d.answerHold("w1", List.of(), List.of());
-        d.submit("busy", wide(1_000));
+        d.submit("busy", wholeWorkerStep(1_000));
         d.completeSaves();
     }
 
@@ -62,9 +62,9 @@
         @Test
         void jobWithTheLeastSlackIsFirst() {
             fillTheOnlyWorker();
-            d.submit("patient", wide(9_000));
+            d.submit("patient", wholeWorkerStep(9_000));
             d.advance(100);
-            d.submit("pressed", wide(1_000));
+            d.submit("pressed", wholeWorkerStep(1_000));
             freeTheWorker();
             assertEquals("pressed", d.lastStart().jobId());
         }
@@ -78,7 +78,7 @@
                     .build();
             d.submit("busy", two);
             d.completeSaves();
-            d.submit("pressed", wide(1_000));
+            d.submit("pressed", wholeWorkerStep(1_000));
             freeTheWorker();
             assertEquals("busy", d.lastStart().jobId());
         }
@@ -86,9 +86,9 @@
         @Test
         void jobWithLittleMarginIsStartedAfterOneWithMore() {
             fillTheOnlyWorker();
-            d.submit("hardly", wide(4_000));
+            d.submit("hardly", wholeWorkerStep(4_000));
             d.advance(2_200);
-            d.submit("surely", wide(9_000));
+            d.submit("surely", wholeWorkerStep(9_000));
             freeTheWorker();
             assertEquals("surely", d.lastStart().jobId());
         }
@@ -96,9 +96,9 @@
         @Test
         void lateJobFollowsOneThatIsNot() {
             fillTheOnlyWorker();
-            d.submit("late", wide(1_000));
+            d.submit("late", wholeWorkerStep(1_000));
             d.advance(2_500);
-            d.submit("fresh", wide(9_000));
+            d.submit("fresh", wholeWorkerStep(9_000));
             freeTheWorker();
             assertEquals("fresh", d.lastStart().jobId());
         }
@@ -112,12 +112,12 @@
                     id, "clips", "at-" + id, "north", false, 0, new Room(cpuMillis, memoryMb, 0), List.of("rack"));
         }
 
-        private StepSpec asking(long cpuMillis, long memoryMb) {
+        private StepSpec stepWithNeed(long cpuMillis, long memoryMb) {
             return StepSpec.builder(1, new StepSpec.Need(cpuMillis, memoryMb, 0))
                     .build();
         }
 
-        private List<String> started() {
+        private List<String> startedJobs() {
             d.completeSaves();
             d.advance(100);
             d.completeSaves();
@@ -127,35 +127,36 @@
         @Test
         void stepThatFitsNowhereDoesNotBlockOthers() {
             d.listAndAnswer(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
-            d.submit("both", asking(4_000, 8_000));
-            d.submit("cpu", asking(4_000, 100));
-            d.submit("memory", asking(500, 8_000));
-            d.submit("more", asking(500, 100));
-            assertEquals(List.of("cpu", "memory"), started().stream().sorted().toList());
+            d.submit("both", stepWithNeed(4_000, 8_000));
+            d.submit("cpu", stepWithNeed(4_000, 100));
+            d.submit("memory", stepWithNeed(500, 8_000));
+            d.submit("more", stepWithNeed(500, 100));
+            assertEquals(
+                    List.of("cpu", "memory"), startedJobs().stream().sorted().toList());
         }
 
         @Test
         void smallStepIsPlacedIfLargerAndMoreUrgentOnesDoNotFit() {
             d.listAndAnswer(worker("w1", 4_000, 8_000));
-            d.submit("a", asking(3_000, 100));
-            d.submit("b", asking(3_000, 100));
-            d.submit("c", asking(1_000, 100));
-            assertEquals(List.of("a", "c"), started());
+            d.submit("a", stepWithNeed(3_000, 100));
+            d.submit("b", stepWithNeed(3_000, 100));
+            d.submit("c", stepWithNeed(1_000, 100));
+            assertEquals(List.of("a", "c"), startedJobs());
         }
 
         @Test
         void stepWithoutDemandIsPlacedOnAFullWorker() {
             d.listAndAnswer(worker("w1", 4_000, 8_000));
-            d.submit("a", asking(4_000, 8_000));
-            d.submit("b", asking(0, 0));
-            assertEquals(List.of("a", "b"), started());
+            d.submit("a", stepWithNeed(4_000, 8_000));
+            d.submit("b", stepWithNeed(0, 0));
+            assertEquals(List.of("a", "b"), startedJobs());
         }
 
         @Test
         void roomFreedByAnEndedRunIsUsed() {
             fillTheOnlyWorker();
             d.advance(100);
-            d.submit("next", wide(1_000));
+            d.submit("next", wholeWorkerStep(1_000));
             assertEquals(1, d.port.starts.size());
             freeTheWorker();
             assertEquals("next", d.lastStart().jobId());
@@ -170,7 +171,7 @@
             d.listWorkers("w1");
             d.answerHold("w1", List.of(), List.of());
             d.now += 2_600;
-            d.submitWithStaleList("a", wide(1_000));
+            d.submitWithStaleList("a", wholeWorkerStep(1_000));
             assertTrue(d.port.saves.isEmpty(), "a worker may be draining by now");
             d.advance(0);
             assertEquals(1, d.port.saves.size());
--- a/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
@@ -46,11 +46,11 @@
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    private static RunStatus runs(int run) {
+    private static RunStatus statusOfRun(int run) {
         return new RunStatus("a", FIRST, run, "", 50, -1);
     }
 
-    private static RunResult ends(long number, int run, EndKind kind) {
+    private static RunResult result(long number, int run, EndKind kind) {
         return new RunResult(number, "a", FIRST, run, kind, "");
     }
 
@@ -66,30 +66,30 @@
     @Nested
     class SavingProgress {
 
-        private static final int OLDER = 40;
+        private static final int OLDER_JOBS = 40;
         private static final int TASKS = 60;
-        private static final long GATHERING_MILLIS = 40;
+        private static final long BATCH_MILLIS = 40;
         private final StepSpec many =
                 StepSpec.builder(TASKS, new StepSpec.Need(1, 1, 0)).build();
 
-        private void begun(String worker) {
+        private void submitOlderJobs(String worker) {
             d.listWorkers(worker);
             d.answerHold(worker, List.of(), List.of());
-            for (int i = 0; i < OLDER; i++) {
+            for (int i = 0; i < OLDER_JOBS; i++) {
                 d.submit("old" + i, many);
             }
         }
 
         /** Completes one task of each older job. */
-        private void allChange(int round) {
-            List<RunResult> ends = IntStream.range(0, OLDER)
+        private void completeOneTaskOfEachJob(int round) {
+            List<RunResult> ends = IntStream.range(0, OLDER_JOBS)
                     .mapToObj(i -> new RunResult(
-                            (long) round * OLDER + i + 1, "old" + i, new TaskId(0, 0, round), 1, EndKind.DONE, ""))
+                            (long) round * OLDER_JOBS + i + 1, "old" + i, new TaskId(0, 0, round), 1, EndKind.DONE, ""))
                     .toList();
             d.answerHold("w1", List.of(), ends);
         }
 
-        private boolean writes(String job) {
+        private boolean isBeingSaved(String job) {
             return d.port.saves.stream()
                     .flatMap(List::stream)
                     .anyMatch(s -> s.job().id().equals(job));
@@ -97,18 +97,18 @@
 
         @Test
         void ofANewJobIsNotDelayedByConstantChangesOfOlderOnes() {
-            begun("w1");
+            submitOlderJobs("w1");
             for (int i = 0; i < 10; i++) {
-                d.advance(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 d.completeSaves();
             }
-            allChange(0);
+            completeOneTaskOfEachJob(0);
             d.submit("new", many);
             boolean written = false;
             for (int round = 1; round < 10 && !written; round++) {
-                allChange(round);
-                d.advance(GATHERING_MILLIS);
-                written = writes("new");
+                completeOneTaskOfEachJob(round);
+                d.advance(BATCH_MILLIS);
+                written = isBeingSaved("new");
                 d.completeSaves();
             }
             assertTrue(written);
@@ -116,18 +116,18 @@
 
         @Test
         void continuesWhileAWriteIsInFlight() {
-            begun("w1");
-            d.advance(GATHERING_MILLIS);
-            d.advance(GATHERING_MILLIS);
-            assertTrue(IntStream.range(0, OLDER).allMatch(i -> writes("old" + i)));
+            submitOlderJobs("w1");
+            d.advance(BATCH_MILLIS);
+            d.advance(BATCH_MILLIS);
+            assertTrue(IntStream.range(0, OLDER_JOBS).allMatch(i -> isBeingSaved("old" + i)));
         }
 
         @Test
         void ofOneJobIsNotConcurrent() {
-            begun("w1");
-            d.advance(GATHERING_MILLIS);
-            allChange(0);
-            d.advance(GATHERING_MILLIS);
+            submitOlderJobs("w1");
+            d.advance(BATCH_MILLIS);
+            completeOneTaskOfEachJob(0);
+            d.advance(BATCH_MILLIS);
             long first = d.port.saves.stream()
                     .flatMap(List::stream)
                     .filter(s -> s.job().id().equals("old0"))
@@ -257,7 +257,7 @@
             startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
-            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(1, 1, EndKind.DONE)));
             assertTrue(d.port.holds.stream().allMatch(h -> h.acknowledgedUpTo() == 0));
             d.advance(100);
             d.completeSaves();
@@ -270,7 +270,7 @@
             startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
-            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(1, 1, EndKind.DONE)));
             assertEquals(
                     JobState.COMPLETED, d.port.saves.get(0).get(0).progress().state());
         }
@@ -281,7 +281,7 @@
             StartOrder first = d.lastStart();
             d.scheduler.onStarted(first, OrderOutcome.ACCEPTED);
             d.advance(100);
-            d.answerHold(first.worker().id(), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.answerHold(first.worker().id(), List.of(), List.of(result(1, 1, EndKind.FAILED)));
             d.advance(100);
             d.completeSaves();
             assertNotEquals(first.worker(), d.lastStart().worker());
@@ -292,7 +292,7 @@
             startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
-            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            d.answerHold("w1", List.of(), List.of(result(1, 1, EndKind.FAILED)));
             d.advance(100);
             d.completeSaves();
             assertEquals(1, d.port.starts.size());
@@ -325,7 +325,7 @@
         private final StepSpec lasting =
                 StepSpec.builder(1, SchedulerDriver.NEED).longRunning(true, 0).build();
 
-        private static RunStatus at(String job) {
+        private static RunStatus statusOf(String job) {
             return new RunStatus(job, FIRST, 1, "", 50, -1);
         }
 
@@ -344,10 +344,10 @@
                 d.answerHold("w1", List.of(), List.of(failed));
             }
             jobs.forEach(j -> d.scheduler.onCancel(new JobKey("q", j)));
-            pass(AVOIDED_MILLIS, List.of());
+            advanceWithAnswers(AVOIDED_MILLIS, List.of());
         }
 
-        private void pass(long millis, List<RunStatus> running) {
+        private void advanceWithAnswers(long millis, List<RunStatus> running) {
             for (long t = 0; t < millis; t += STEP_MILLIS) {
                 d.advance(STEP_MILLIS);
                 d.answerHold("w1", running, List.of());
@@ -355,7 +355,7 @@
             }
         }
 
-        private void begins(String job) {
+        private void acceptStart(String job) {
             assertEquals(job, d.lastStart().jobId());
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
         }
@@ -364,21 +364,21 @@
         void healthyLongRunningTaskDoesNotBlockTheWorker() {
             failThreeJobs();
             d.submit("x", lasting);
-            pass(STEP_MILLIS, List.of());
-            begins("x");
+            advanceWithAnswers(STEP_MILLIS, List.of());
+            acceptStart("x");
             d.submit("y", lasting);
-            pass(WITHIN_MILLIS, List.of(at("x")));
-            begins("y");
+            advanceWithAnswers(WITHIN_MILLIS, List.of(statusOf("x")));
+            acceptStart("y");
         }
 
         @Test
         void workerGetsOneTaskAtATime() {
             failThreeJobs();
             d.submit("x", ONE);
-            pass(STEP_MILLIS, List.of());
-            begins("x");
+            advanceWithAnswers(STEP_MILLIS, List.of());
+            acceptStart("x");
             d.submit("y", ONE);
-            pass(WITHIN_MILLIS, List.of(at("x")));
+            advanceWithAnswers(WITHIN_MILLIS, List.of(statusOf("x")));
             assertEquals("x", d.lastStart().jobId());
         }
 
@@ -386,10 +386,10 @@
         void longRunningTaskThatHasJustStartedProvesNothing() {
             failThreeJobs();
             d.submit("x", lasting);
-            pass(STEP_MILLIS, List.of());
-            begins("x");
+            advanceWithAnswers(STEP_MILLIS, List.of());
+            acceptStart("x");
             d.submit("y", lasting);
-            pass(STEP_MILLIS, List.of(at("x")));
+            advanceWithAnswers(STEP_MILLIS, List.of(statusOf("x")));
             assertEquals("x", d.lastStart().jobId());
         }
     }
@@ -397,7 +397,7 @@
     @Nested
     class Records {
 
-        private List<String> written() {
+        private List<String> pendingSaveIds() {
             return d.port.saves.stream()
                     .flatMap(List::stream)
                     .map(s -> s.job().id())
@@ -413,15 +413,18 @@
                 d.scheduler.onCancel(new JobKey("q", "job-" + i));
             }
             d.advance(0);
-            assertEquals(IntStream.range(0, 10).mapToObj(i -> "job-" + i).toList(), written(), "the rows of one call");
+            assertEquals(
+                    IntStream.range(0, 10).mapToObj(i -> "job-" + i).toList(),
+                    pendingSaveIds(),
+                    "the rows of one call");
             d.advance(100);
-            assertEquals(IntStream.range(0, 20).mapToObj(i -> "job-" + i).toList(), written(), "each job once");
+            assertEquals(IntStream.range(0, 20).mapToObj(i -> "job-" + i).toList(), pendingSaveIds(), "each job once");
             d.completeSaves();
             d.advance(100);
-            assertEquals(List.of(), written());
+            assertEquals(List.of(), pendingSaveIds());
         }
 
-        private void endHundreds() {
+        private void completeHundredsOfTasks() {
             for (int i = 0; i < 200; i++) {
                 d.submit("job-" + i, ONE);
             }
@@ -432,7 +435,7 @@
 
         @Test
         void useAtMostSixteenConcurrentCalls() {
-            endHundreds();
+            completeHundredsOfTasks();
             d.advance(100);
             assertEquals(10, d.port.saves.size(), "without a delay in between");
             d.advance(100);
@@ -447,7 +450,7 @@
 
         @Test
         void useAtMostFourConcurrentCallsWhileTheyFail() {
-            endHundreds();
+            completeHundredsOfTasks();
             d.advance(100);
             List.copyOf(d.port.saves).forEach(s -> d.scheduler.onSaveFailed(s, 150));
             d.port.saves.clear();
@@ -461,14 +464,14 @@
             startOnAnyOf("w1");
             d.advance(100);
             d.submit("b", ONE);
-            assertEquals(List.of("b"), written());
+            assertEquals(List.of("b"), pendingSaveIds());
             d.scheduler.onCancel(new JobKey("q", "b"));
             d.advance(100);
             d.completeSaves();
-            assertEquals(List.of("b"), written());
+            assertEquals(List.of("b"), pendingSaveIds());
             d.completeSaves();
             d.advance(100);
-            assertEquals(List.of(), written());
+            assertEquals(List.of(), pendingSaveIds());
         }
 
         @Test
@@ -479,9 +482,9 @@
             List<SchedulerPort.ProgressWrite> lost = d.port.saves.remove(0);
             d.scheduler.onSaveFailed(lost, 150);
             d.advance(100);
-            assertEquals(List.of(), written());
+            assertEquals(List.of(), pendingSaveIds());
             d.advance(50);
-            assertEquals(List.of("a"), written());
+            assertEquals(List.of("a"), pendingSaveIds());
         }
     }
 
@@ -508,7 +511,7 @@
             startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(10);
-            d.answerHold("w1", List.of(runs(1)), List.of());
+            d.answerHold("w1", List.of(statusOfRun(1)), List.of());
             for (int i = 0; i < 10; i++) {
                 d.leaveHoldUnanswered("w1");
                 d.advance(1_000);
@@ -522,7 +525,7 @@
         }
 
         /** Leaves the worker of run 1 silent until run 2 has started elsewhere; returns both workers. */
-        private List<String> begunTwice() {
+        private List<String> startTwice() {
             startOnAnyOf("w1", "w2");
             String gone = d.lastStart().worker().id();
             String other = gone.equals("w1") ? "w2" : "w1";
@@ -542,9 +545,9 @@
 
         @Test
         void thatCompleteARunLateGetItRecorded() {
-            String gone = begunTwice().get(0);
+            String gone = startTwice().get(0);
             d.port.saves.clear();
-            d.answerHold(gone, List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold(gone, List.of(), List.of(result(1, 1, EndKind.DONE)));
             d.advance(100);
             TaskRecord written = d.port.saves.get(0).get(0).progress().tasks().get(0);
             assertTrue(written.done(), "the worker may discard the result once this is saved");
@@ -553,9 +556,9 @@
 
         @Test
         void thatReportAnOlderResultLastDoNotChangeACompletedTask() {
-            List<String> both = begunTwice();
-            d.answerHold(both.get(1), List.of(), List.of(ends(1, 2, EndKind.DONE)));
-            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
+            List<String> both = startTwice();
+            d.answerHold(both.get(1), List.of(), List.of(result(1, 2, EndKind.DONE)));
+            d.answerHold(both.get(0), List.of(), List.of(result(1, 1, EndKind.FAILED)));
             d.advance(100);
             d.completeSaves();
             d.advance(100);
@@ -566,16 +569,16 @@
 
         @Test
         void thatCompletedARunPreventTheNextOwnerFromRepeatingIt() {
-            List<String> both = begunTwice();
+            List<String> both = startTwice();
             d.port.saves.clear();
-            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold(both.get(0), List.of(), List.of(result(1, 1, EndKind.DONE)));
             d.advance(100);
             JobProgress left = d.port.saves.get(0).get(0).progress();
             SchedulerDriver next = new SchedulerDriver();
             next.listWorkers("w1", "w2");
             next.submit("a", left, ONE);
             next.answerHold(both.get(0), List.of(), List.of());
-            next.answerHold(both.get(1), List.of(runs(2)), List.of());
+            next.answerHold(both.get(1), List.of(statusOfRun(2)), List.of());
             StopOrder stop = next.port.stops.get(0);
             assertEquals(2, stop.run());
             next.scheduler.onStopped(stop, OrderOutcome.ACCEPTED);
@@ -592,10 +595,10 @@
          */
         @Test
         void withAFailedRunCountNoAttemptOnceTheirLeaseHasExpired() {
-            List<String> both = begunTwice();
+            List<String> both = startTwice();
             d.port.saves.clear();
-            d.answerHold(both.get(0), List.of(), List.of(ends(1, 1, EndKind.FAILED)));
-            d.answerHold(both.get(1), List.of(), List.of(ends(1, 2, EndKind.FAILED)));
+            d.answerHold(both.get(0), List.of(), List.of(result(1, 1, EndKind.FAILED)));
+            d.answerHold(both.get(1), List.of(), List.of(result(1, 2, EndKind.FAILED)));
             d.advance(100);
             TaskRecord written = d.port.saves.get(0).get(0).progress().tasks().get(0);
             assertEquals(1, written.failures());
@@ -609,7 +612,7 @@
             String other = gone.equals("w1") ? "w2" : "w1";
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(10);
-            d.answerHold(gone, List.of(runs(1)), List.of());
+            d.answerHold(gone, List.of(statusOfRun(1)), List.of());
             boolean early = false;
             for (int i = 0; i < 12; i++) {
                 d.leaveHoldUnanswered(gone);
@@ -623,7 +626,7 @@
         }
 
         /** Ends one run on w1, which keeps another one until every deadline has passed; no record is durable. */
-        private void endsOneOfTwoAndIsSilent() {
+        private void endOneOfTwoRunsThenStaySilent() {
             startOnAnyOf("w1");
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.submit("b", ONE);
@@ -631,7 +634,7 @@
             d.completeSaves();
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(10);
-            d.answerHold("w1", List.of(runsB()), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold("w1", List.of(runsB()), List.of(result(1, 1, EndKind.DONE)));
             for (int i = 0; i < 12; i++) {
                 d.leaveHoldUnanswered("w1");
                 d.advance(1_000);
@@ -642,33 +645,33 @@
             return new RunStatus("b", FIRST, 1, "", 50, -1);
         }
 
-        private long mayForget() {
+        private long acknowledgedResult() {
             return d.port.holds.get(d.port.holds.size() - 1).acknowledgedUpTo();
         }
 
         @Test
         void thatAnswerAgainKeepResultsThatAreNotDurable() {
-            endsOneOfTwoAndIsSilent();
-            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            endOneOfTwoRunsThenStaySilent();
+            d.answerHold("w1", List.of(), List.of(result(1, 1, EndKind.DONE)));
             d.advance(100);
-            assertEquals(0, mayForget());
+            assertEquals(0, acknowledgedResult());
             d.completeSaves();
             d.advance(100);
-            assertEquals(1, mayForget());
+            assertEquals(1, acknowledgedResult());
         }
 
         @Test
         void thatAreListedAgainKeepResultsThatAreNotDurable() {
-            endsOneOfTwoAndIsSilent();
+            endOneOfTwoRunsThenStaySilent();
             d.listWorkers();
             d.advance(60_000);
             d.listWorkers("w1");
-            d.answerHold("w1", List.of(), List.of(ends(1, 1, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(1, 1, EndKind.DONE)));
             d.advance(100);
-            assertEquals(0, mayForget());
+            assertEquals(0, acknowledgedResult());
             d.completeSaves();
             d.advance(100);
-            assertEquals(1, mayForget());
+            assertEquals(1, acknowledgedResult());
         }
 
         @Test
@@ -698,7 +701,7 @@
         void adoptsRunningTasks() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
-            d.answerHold("w1", List.of(runs(4)), List.of());
+            d.answerHold("w1", List.of(statusOfRun(4)), List.of());
             d.answerHold("w2", List.of(), List.of());
             d.advance(100);
             d.completeSaves();
@@ -712,7 +715,7 @@
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
             d.answerHold("w2", List.of(), List.of());
-            d.answerHold("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(1, 4, EndKind.DONE)));
             d.advance(100);
             JobProgress written = d.port.saves.get(0).get(0).progress();
             assertEquals(JobState.COMPLETED, written.state());
@@ -727,7 +730,7 @@
             d.scheduler.onEvacuations(Set.of("w1"), Set.of("w1"));
             d.advance(100);
             assertTrue(d.port.emptied.isEmpty());
-            d.answerHold("w1", List.of(), List.of(ends(1, 4, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(1, 4, EndKind.DONE)));
             d.advance(100);
             assertTrue(d.port.emptied.isEmpty(), "its result is not durable");
             d.completeSaves();
@@ -774,7 +777,7 @@
         @Test
         void stopsUnknownRuns() {
             d.listWorkers("w1");
-            d.answerHold("w1", List.of(runs(9)), List.of());
+            d.answerHold("w1", List.of(statusOfRun(9)), List.of());
             assertEquals(9, d.port.stops.get(0).run());
         }
     }
@@ -784,7 +787,7 @@
     class ProofOfTheEndOfARun {
 
         // The maximum number of results that a worker lists at once.
-        private static final int MOST_ENDS = 500;
+        private static final int MAX_RESULTS = 500;
 
         private final JobProgress left =
                 new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 0, false, "w1", "")), "", 0);
@@ -793,7 +796,7 @@
             startOnAnyOf(workers);
             d.scheduler.onStarted(d.lastStart(), OrderOutcome.ACCEPTED);
             d.advance(100);
-            d.answerHold(d.lastStart().worker().id(), List.of(runs(1)), List.of());
+            d.answerHold(d.lastStart().worker().id(), List.of(statusOfRun(1)), List.of());
             d.completeSaves();
         }
 
@@ -803,7 +806,7 @@
             String w = d.lastStart().worker().id();
             d.scheduler.onEvacuations(Set.of(w), Set.of());
             d.advance(3_000);
-            d.answerHold(w, List.of(runs(1)), List.of());
+            d.answerHold(w, List.of(statusOfRun(1)), List.of());
             d.scheduler.onEvacuations(Set.of(), Set.of());
             assertFalse(d.scheduler.hasSilentWorkersWithTasks(), "the worker has just answered");
             d.scheduler.onRunningWorkers(Set.of(), d.now);
@@ -816,13 +819,13 @@
         void isNotAnEntryWithoutAnAddress() {
             startOnTheFirstOf("w1", "w2");
             String w = d.lastStart().worker().id();
-            d.scheduler.onWorkers(List.of(nowhere("w1"), nowhere("w2")));
+            d.scheduler.onWorkers(List.of(workerWithoutAddress("w1"), workerWithoutAddress("w2")));
             int asked = d.port.holds.size();
-            d.answerHold(w, List.of(runs(1)), List.of());
+            d.answerHold(w, List.of(statusOfRun(1)), List.of());
             assertEquals(asked + 1, d.port.holds.size(), "the worker can be polled at its old address");
         }
 
-        private WorkerFacts nowhere(String id) {
+        private WorkerFacts workerWithoutAddress(String id) {
             WorkerFacts f = SchedulerDriver.worker(id);
             return new WorkerFacts(id, f.service(), "", f.hall(), false, 0, f.room(), f.labels());
         }
@@ -831,7 +834,7 @@
         void isNotAFullListOfResultsWithoutTheRun() {
             d.listWorkers("w1", "w2");
             d.submit("a", left, ONE);
-            List<RunResult> others = IntStream.rangeClosed(1, MOST_ENDS)
+            List<RunResult> others = IntStream.rangeClosed(1, MAX_RESULTS)
                     .mapToObj(i -> new RunResult(i, "other-" + i, FIRST, 1, EndKind.DONE, ""))
                     .toList();
             d.answerHold("w1", List.of(), others);
@@ -839,7 +842,7 @@
             d.advance(100);
             d.completeSaves();
             assertTrue(d.port.starts.isEmpty(), "its result may be the next that the worker lists");
-            d.answerHold("w1", List.of(), List.of(ends(MOST_ENDS + 1, 4, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(result(MAX_RESULTS + 1, 4, EndKind.DONE)));
             d.advance(100);
             d.completeSaves();
             assertTrue(d.port.starts.isEmpty());
@@ -856,7 +859,7 @@
             List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
             d.advance(100);
             RunResult second = new RunResult(2, "b", FIRST, 1, EndKind.DONE, "");
-            d.answerHold("w1", List.of(), List.of(second, ends(1, 1, EndKind.DONE)));
+            d.answerHold("w1", List.of(), List.of(second, result(1, 1, EndKind.DONE)));
             assertEquals(0, d.scheduler.load().running(), "both are done");
             assertTrue(d.port.stops.isEmpty());
         }
@@ -895,7 +898,7 @@
 
         private static final int JOBS = 40;
         // Each call needs one row for ownership.
-        private static final int MOST_ROWS = 32 - 1;
+        private static final int MAX_ROWS = 32 - 1;
 
         private int rows(SchedulerPort.ProgressWrite s) {
             int condition = 1;
@@ -918,7 +921,7 @@
                 d.advance(100);
                 for (List<SchedulerPort.ProgressWrite> batch : d.port.saves) {
                     int rows = batch.stream().mapToInt(this::rows).sum();
-                    assertTrue(rows <= MOST_ROWS, rows + " rows in one call");
+                    assertTrue(rows <= MAX_ROWS, rows + " rows in one call");
                     written += batch.size();
                 }
                 d.completeSaves();
@@ -989,7 +992,7 @@
                 d.submit("busy-" + i, StepSpec.builder(TASKS, WHOLE_WORKER).build());
             }
             for (int i = 0; i < ROUNDS; i++) {
-                writeRound();
+                completeOneRoundOfWrites();
             }
             for (int i = 0; i < BUSY; i++) {
                 String job = "busy-" + i;
@@ -1002,10 +1005,10 @@
             }
             running.values().forEach(r -> ended(r.next()));
             d.submit("late", StepSpec.builder(1, WHOLE_WORKER).build());
-            writeRound();
+            completeOneRoundOfWrites();
             for (int i = 0; i < ROUNDS; i++) {
                 running.values().forEach(r -> ended(r.next()));
-                writeRound();
+                completeOneRoundOfWrites();
             }
             assertTrue(d.port.starts.stream().anyMatch(s -> s.jobId().endsWith("late")));
         }
@@ -1027,7 +1030,7 @@
                     List.of(new RunResult(1, s.jobId(), s.task(), s.run(), EndKind.DONE, "")));
         }
 
-        private void writeRound() {
+        private void completeOneRoundOfWrites() {
             d.advance(BETWEEN_WRITES_MILLIS);
             d.completeSaves();
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -335,7 +335,7 @@
     @Nested
     class AListOfInstancesWithoutTheWorker {
 
-        private StartOrder silentSinceItsStart() {
+        private StartOrder startAndStaySilent() {
             listInFirstIncarnation("w1");
             d.submit("a", ONE);
             d.advance(50);
@@ -353,7 +353,7 @@
          */
         @Test
         void endsNoRunWhoseStartIsInFlight() {
-            StartOrder s = silentSinceItsStart();
+            StartOrder s = startAndStaySilent();
             d.scheduler.onRunningWorkers(Set.of(), d.now);
             assertFalse(isLost());
             d.scheduler.onStarted(s, OrderOutcome.UNKNOWN);
@@ -366,7 +366,7 @@
         /** Guards against the same failure if the worker's entry already describes the next incarnation. */
         @Test
         void endsNoRunOfAWorkerWhoseEntryIsNewer() {
-            StartOrder s = silentSinceItsStart();
+            StartOrder s = startAndStaySilent();
             d.scheduler.onStarted(s, OrderOutcome.UNKNOWN);
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             d.advance(10);
@@ -383,7 +383,7 @@
         private @Nullable HoldOrder early;
         private long sentAt;
 
-        private void runEndsWhileAnOlderAnswerIsOnItsWay() {
+        private void endRunWithAnOlderAnswerInFlight() {
             listInFirstIncarnation("w1");
             StartOrder s = submitAndStart("a");
             early = d.lastHold("w1");
@@ -397,7 +397,7 @@
             d.completeSaves();
         }
 
-        private void olderAnswerArrives() {
+        private void deliverOlderAnswer() {
             HoldResponse older = new HoldResponse(FIRST_BIRTH, OLD_CLOCK + 10, List.of(running("a", 1)), List.of());
             d.scheduler.onHoldAnswered(Objects.requireNonNull(early), sentAt, older);
             d.advance(1);
@@ -406,17 +406,17 @@
         /** Guards against treating an ended run as alive, which keeps a stopped task from being placed anywhere. */
         @Test
         void doesNotRestoreTheRun() {
-            runEndsWhileAnOlderAnswerIsOnItsWay();
-            olderAnswerArrives();
+            endRunWithAnOlderAnswerInFlight();
+            deliverOlderAnswer();
             assertEquals(List.of(), d.port.events(SchedulerEvent.Kind.RUN_FOUND));
         }
 
         /** Guards against having two holds of a worker in flight permanently. */
         @Test
         void doesNotCauseAnotherHold() {
-            runEndsWhileAnOlderAnswerIsOnItsWay();
+            endRunWithAnOlderAnswerInFlight();
             int holds = d.port.holds.size();
-            olderAnswerArrives();
+            deliverOlderAnswer();
             assertEquals(holds, d.port.holds.size());
         }
     }
@@ -468,7 +468,7 @@
     @Nested
     class UnderANewOwner {
 
-        private void recovers(@Nullable Long recordedBirth) {
+        private void takeOverRun(@Nullable Long recordedBirth) {
             TaskRecord r = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "", 0, 0, recordedBirth);
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", SECOND_BIRTH)));
             d.submit("a", new JobProgress(JobState.RUNNING, List.of(r), "", 0), ONE);
@@ -482,7 +482,7 @@
          */
         @Test
         void runOfAnEarlierIncarnationMayHaveCrashedIt() {
-            recovers(FIRST_BIRTH);
+            takeOverRun(FIRST_BIRTH);
             assertEquals(1, lastRecord().knownDoubtfulCrashes());
         }
 
@@ -503,7 +503,7 @@
         /** Guards against blaming a task whose record, written by an earlier version, does not name an incarnation. */
         @Test
         void runOfAnUnknownIncarnationIsNotCounted() {
-            recovers(null);
+            takeOverRun(null);
             assertEquals(0, lastRecord().knownDoubtfulCrashes());
         }
 
