--- a/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
@@ -24,79 +24,78 @@
 import org.lupinpaddle.core.placement.Placer;
 
 /**
- * Finds out which workers may run a step whose queue asks for advice. What the service has said of a worker does not
- * change, but its tickets end.
+ * Determines which workers may run a step whose queue requires advice. The service's decision on a worker does not
+ * change, but tickets expire.
  */
 final class Advisor {
 
-    // The service takes longer with each worker that it is asked about; the steps' objective counts one call for
-    // each 30 workers.
-    private static final int MOST_ASKED = 30;
+    // The service takes longer with each worker in a request; the objective for steps allows one call per 30 workers.
+    private static final int MAX_WORKERS_PER_REQUEST = 30;
     private static final long RETRY_MILLIS = 250;
-    // From the choice of a worker until the start arrives: a write of the store, and the call.
-    private static final long NEEDED_MILLIS = 600;
+    // Covers the time from the placement to the start: a store write and the call.
+    private static final long MIN_REMAINING_MILLIS = 600;
 
     private final ServiceState state;
-    private final Map<LiveStep, Known> known = new HashMap<>();
+    private final Map<LiveStep, Knowledge> knowledgeByStep = new HashMap<>();
 
     private record Ticket(String text, long validUntil) {}
 
-    /** What is known of one step. */
-    private static final class Known {
+    /** The advice received for one step. */
+    private static final class Knowledge {
         final Map<String, Ticket> tickets = new HashMap<>();
         final Set<String> refused = new HashSet<>();
-        boolean asking;
-        long askAt;
+        boolean requestInFlight;
+        long nextRequestAt;
     }
 
     Advisor(ServiceState state) {
         this.state = state;
     }
 
-    /** Returns those of the workers that are known to be allowed to run the step now. */
+    /** Returns the workers that currently have a valid ticket for the step. */
     List<LiveWorker> allowed(LiveStep step, List<LiveWorker> workers) {
         return workers.stream().filter(w -> !ticket(step, w).isEmpty()).toList();
     }
 
-    /** Returns the ticket for a start of the step's tasks on a worker; empty when there is none that holds. */
+    /** Returns the ticket for starting the step's tasks on a worker; empty if there is no valid one. */
     String ticket(LiveStep step, LiveWorker w) {
-        Known k = known.get(step);
+        Knowledge k = knowledgeByStep.get(step);
         Ticket t = k == null ? null : k.tickets.get(w.facts().id());
-        return t == null || t.validUntil - NEEDED_MILLIS < state.now() ? "" : t.text;
+        return t == null || t.validUntil - MIN_REMAINING_MILLIS < state.now() ? "" : t.text;
     }
 
-    /** Asks about workers that could carry the step's tasks and of which nothing is known. */
-    void ask(LiveStep step, List<LiveWorker> workers) {
+    /** Requests advice on workers that could run the step's tasks and for which none is known. */
+    void requestAdvice(LiveStep step, List<LiveWorker> workers) {
         long now = state.now();
-        Known k = known.computeIfAbsent(step, s -> new Known());
-        if (k.asking || now < k.askAt) {
+        Knowledge k = knowledgeByStep.computeIfAbsent(step, s -> new Knowledge());
+        if (k.requestInFlight || now < k.nextRequestAt) {
             return;
         }
-        LiveTask any = step.tasks.get(0);
+        LiveTask anyTask = step.tasks.get(0);
         List<String> unknown = workers.stream()
                 .filter(w ->
                         !k.refused.contains(w.facts().id()) && ticket(step, w).isEmpty())
-                .filter(w -> Placer.mayCarry(w, any.wish(now)))
+                .filter(w -> Placer.mayCarry(w, anyTask.placementRequirements(now)))
                 .map(w -> w.facts().id())
                 .sorted()
-                .limit(MOST_ASKED)
+                .limit(MAX_WORKERS_PER_REQUEST)
                 .toList();
         if (!unknown.isEmpty()) {
-            k.asking = true;
-            state.port.advise(new AdviceOrder(any.stepTime, unknown));
+            k.requestInFlight = true;
+            state.port.advise(new AdviceRequest(anyTask.stepTime, unknown));
         }
     }
 
-    /** Takes in an answer, or that there was none. */
-    void onAdvised(LiveStep step, AdviceOrder order, @Nullable AdviceAnswer answer) {
-        Known k = known.get(step);
+    /** Handles a response; null if there was none. */
+    void onAdvice(LiveStep step, AdviceRequest order, @Nullable AdviceResponse answer) {
+        Knowledge k = knowledgeByStep.get(step);
         if (k == null) {
             return;
         }
         long now = state.now();
-        k.asking = false;
+        k.requestInFlight = false;
         if (answer == null) {
-            k.askAt = now + RETRY_MILLIS;
+            k.nextRequestAt = now + RETRY_MILLIS;
             return;
         }
         long until = now + answer.validMillis();
@@ -106,17 +105,17 @@
                 .forEach(k.refused::add);
     }
 
-    /** Takes in that a worker did not take the step's ticket. */
+    /** Discards the step's ticket for a worker that rejected it. */
     void onTicketRefused(LiveStep step, LiveWorker w) {
-        Known k = known.get(step);
+        Knowledge k = knowledgeByStep.get(step);
         if (k != null) {
             k.tickets.remove(w.facts().id());
         }
     }
 
-    /** Forgets what is known of a worker: advice and tickets hold for one life of it. */
+    /** Forgets a worker: advice and tickets apply to one incarnation. */
     void forget(String worker) {
-        for (Known k : known.values()) {
+        for (Knowledge k : knowledgeByStep.values()) {
             k.tickets.remove(worker);
             k.refused.remove(worker);
         }
@@ -124,6 +123,6 @@
 
     /** Forgets the steps of jobs that have ended. */
     void forgetEnded() {
-        known.keySet().removeIf(s -> s.job.state.ended() || s.isDone());
+        knowledgeByStep.keySet().removeIf(s -> s.job.state.ended() || s.isDone());
     }
 }
--- /dev/null
+++ b/core/src/main/java/org/lupinpaddle/core/run/CrashTracker.java
@@ -0,0 +1,128 @@
+/*
+ * Copyright 2026 The lupinpaddle authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *      http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package org.lupinpaddle.core.run;
+
+import java.util.Collection;
+import java.util.List;
+import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.run.LiveTask.Phase;
+
+/**
+ * Counts the workers that crash while running a task, and gives up tasks that keep crashing their workers. Such a
+ * task would take down one worker after another, together with the other tasks there. The count must survive a change
+ * of owner, so it is saved with the next placement, before the start is sent.
+ */
+final class CrashTracker {
+
+    // Two crashes may be coincidence; before the third the task runs alone (see Suspicion).
+    private static final int CRASHES_TO_GIVE_UP = 3;
+    // An unanswered start may never have reached a worker that had already crashed, but a task that crashes its worker
+    // at once leaves its start unanswered as well. Such doubtful crashes count less, but are limited too.
+    private static final int MIN_CERTAIN_WITH_DOUBTFUL = 2;
+    private static final int TOTAL_WITH_CERTAIN = 4;
+    private static final int TOTAL_DOUBTFUL = 5;
+    // Tasks of a step take about the same time; the margin covers their differences.
+    private static final double NEARLY_DONE_SHARE = 0.9;
+    // A long-running task sees occasional unrelated crashes; one that has run this long did not cause this one.
+    private static final long CRASH_RESET_MILLIS = 600_000;
+
+    private final ServiceState state;
+
+    CrashTracker(ServiceState state) {
+        this.state = state;
+    }
+
+    /** A task that may have crashed its worker, and whether it was running when the worker was lost. */
+    record Suspect(LiveTask task, boolean wasRunning) {}
+
+    /** Returns the suspects among the tasks of a lost worker, before they are removed from it. */
+    List<Suspect> suspects(Collection<LiveTask> tasks, RecentLosses.Loss loss) {
+        // Tasks that were not sent there, or whose work was done before, did not crash it.
+        return tasks.stream()
+                .filter(t -> t.phase != Phase.PLACED && !t.workDone)
+                .map(t -> new Suspect(t, t.hasStarted() && !mayHaveEndedBefore(t, loss)))
+                .toList();
+    }
+
+    /**
+     * Returns whether a run was due to end before its worker was last known to be alive, so that the loss may have
+     * come after its end. For a task that ran alone after several crashes, another crash is more likely.
+     */
+    private boolean mayHaveEndedBefore(LiveTask t, RecentLosses.Loss loss) {
+        return !t.step.longRunning()
+                && !t.suspicion.requiresIsolation()
+                && loss.from() - t.startedAt >= NEARLY_DONE_SHARE * state.expectedMillis(t.liveStep);
+    }
+
+    /**
+     * Counts the loss of a worker after its tasks have been removed. A draining worker ended as planned, and an
+     * unreachable one may still be alive without running anything. Instances are only taken away from evacuated
+     * workers.
+     */
+    void onWorkerLost(LiveWorker w, LossEvidence evidence, RecentLosses.Loss loss, List<Suspect> suspects) {
+        if (!evidence.provesEnd() || w.isDraining()) {
+            return;
+        }
+        for (Suspect s : suspects) {
+            if (!s.task.job.state.ended()) {
+                countCrash(s.task, s.wasRunning, loss);
+            }
+        }
+    }
+
+    private void countCrash(LiveTask t, boolean wasRunning, RecentLosses.Loss loss) {
+        if (t.step.longRunning() && t.lastRunMillis >= CRASH_RESET_MILLIS) {
+            t.resetCrashes();
+        }
+        if (wasRunning) {
+            t.certainLosses.add(loss);
+        }
+        int total = t.crashes + t.doubtfulCrashes + 1;
+        // Another worker may have been declared lost since the earlier loss was counted.
+        int discounted = t.discountLosses(
+                l -> state.losses.mayHaveOtherCause(l, t.liveStep, state.workers.values(), state.now()));
+        int certain = t.crashes + (wasRunning ? 1 : 0) - discounted;
+        int doubtful = total - certain;
+        t.recordCrashes(certain, doubtful, state.now());
+        state.markChanged(t.job);
+        String counts = "crashes=" + certain + " doubtful=" + doubtful + " lost=" + loss.worker();
+        state.note(SchedulerEvent.Kind.CRASH_COUNTED, t, t.suspicion.name(), counts);
+        if (exceedsCrashLimit(certain, total)) {
+            giveUp(t, total + " workers crashed under task " + t.id + ", the last was " + loss.worker());
+        }
+    }
+
+    private static boolean exceedsCrashLimit(int certain, int total) {
+        return certain >= CRASHES_TO_GIVE_UP
+                || (certain >= MIN_CERTAIN_WITH_DOUBTFUL && total >= TOTAL_WITH_CERTAIN)
+                || total >= TOTAL_DOUBTFUL;
+    }
+
+    /**
+     * Gives up the task. In a long-running step the other tasks continue: users depend on them, and the caller's
+     * limit on unavailable tasks does not allow stopping them. Any other job cannot complete without the task.
+     */
+    private void giveUp(LiveTask t, String reason) {
+        state.note(SchedulerEvent.Kind.TASK_GIVEN_UP, t, "", "reason=" + reason);
+        boolean keepOthers = t.step.longRunning() && !t.step.gang();
+        if (keepOthers) {
+            state.finish(t, "given up");
+        }
+        if (!keepOthers || t.job.allDone()) {
+            state.endJob(t.job, JobState.FAILED, reason);
+        }
+    }
+}
--- a/core/src/main/java/org/lupinpaddle/core/run/LoadSummary.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LoadSummary.java
@@ -16,29 +16,29 @@
 package org.lupinpaddle.core.run;
 
 /**
- * How much a service has to do and with what, at one moment: for the log.
+ * A snapshot of a service's load and capacity, for the log.
  *
- * @param waiting tasks that could start now and have no worker
- * @param hopeless those of them whose job can not end within three times its objective any more
+ * @param waiting tasks that are ready to start and have no worker
+ * @param hopeless those of them whose job can no longer end within three times its objective
  * @param running tasks on workers
- * @param workers workers that new tasks may go to
- * @param silent workers with or without tasks that have not answered when they should have
- * @param needed how many workers the service asks for
+ * @param workers workers that can take new tasks
+ * @param silent listed workers whose last answer is overdue
+ * @param needed the number of workers that the service requests
  */
 public record LoadSummary(int waiting, int hopeless, int running, int workers, int silent, int needed) {
 
     static LoadSummary of(ServiceState state, int needed) {
-        long wall = state.wallNow();
+        long wallMillis = state.wallNow();
         int waiting = 0;
         int hopeless = 0;
-        for (LiveJob job : state.live.values()) {
+        for (LiveJob job : state.activeJobs.values()) {
             for (LiveStep s : job.steps) {
-                if (!s.isReady(wall)) {
+                if (!s.isReady(wallMillis)) {
                     continue;
                 }
                 int n = s.waiting();
                 waiting += n;
-                hopeless += StepUrgency.of(s, wall).tier() == StepUrgency.Tier.PAST ? n : 0;
+                hopeless += StepUrgency.of(s, wallMillis).tier() == StepUrgency.Tier.PAST ? n : 0;
             }
         }
         int running =
--- a/core/src/main/java/org/lupinpaddle/core/run/DemandReport.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
@@ -26,94 +26,94 @@
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 
-/** Puts together what the owner of a service tells of it. */
-final class DemandReport {
+/** Builds the report of the owner of a service. */
+final class ServiceReportBuilder {
 
     private final ServiceState state;
 
-    /** What the service's work asks for, by what is still to be won by it. */
+    /** The demand of the service's jobs, grouped by whether they can still meet their objective. */
     private static final class Demands {
         final Demand all = new Demand();
         final Demand onTime = new Demand();
         final Demand late = new Demand();
     }
 
-    DemandReport(ServiceState state) {
+    ServiceReportBuilder(ServiceState state) {
         this.state = state;
     }
 
-    ServiceReport make() {
+    ServiceReport build() {
         Map<String, Integer> pending = new TreeMap<>();
         Demands demands = new Demands();
-        for (LiveJob job : state.live.values()) {
-            if (!job.begun) {
+        for (LiveJob job : state.activeJobs.values()) {
+            if (!job.started) {
                 pending.merge(job.spec.key().queue(), 1, Integer::sum);
             }
             add(job, demands);
         }
-        Room usual = usualRoom();
-        double ahead = state.trend.ahead(state.now(), demands.all.need(usual));
+        Room smallestRoom = smallestWorkerRoom();
+        double ahead = state.trend.ahead(state.now(), demands.all.need(smallestRoom));
         int needed = (int) Math.max(demands.all.fewest(), Math.ceil(ahead));
         demands.onTime.flows(state.arrivals.room(state.now()));
-        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(usual)));
-        int late = (int) Math.ceil(demands.late.need(usual));
-        return new ServiceReport(pending, needed, firm, late, loads());
+        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(smallestRoom)));
+        int late = (int) Math.ceil(demands.late.need(smallestRoom));
+        return new ServiceReport(pending, needed, firm, late, workerLoads());
     }
 
     private void add(LiveJob job, Demands demands) {
-        long wall = state.wallNow();
+        long wallMillis = state.wallNow();
         for (int time = 0; time < job.spec.repeat().times(); time++) {
-            if (wall >= job.spec.repeat().dueMillis(time)) {
-                addTime(job, time, wall, demands);
+            if (wallMillis >= job.spec.repeat().dueMillis(time)) {
+                addIteration(job, time, wallMillis, demands);
             }
         }
     }
 
-    private void addTime(LiveJob job, int time, long wall, Demands demands) {
+    private void addIteration(LiveJob job, int time, long wallMillis, Demands demands) {
         List<LiveStep> steps =
                 job.steps.stream().filter(s -> s.time == time && !s.isDone()).toList();
-        long left = job.leftMillis(time);
-        // All that is left is to be done until the objective, or until late ends count no more, if it can be.
-        long onTime = Math.max(left, StepUrgency.Tier.ON_TIME.endsMillis(job, time) - wall);
-        long late = Math.max(left, StepUrgency.Tier.LATE.endsMillis(job, time) - wall);
-        StepUrgency.Tier tier = StepUrgency.Tier.of(job, time, wall + left);
-        double part = part(steps, onTime, wall);
+        long remaining = job.remainingMillis(time);
+        // The remaining work should end by the objective or, failing that, before late completion loses its value.
+        long onTime = Math.max(remaining, StepUrgency.Tier.ON_TIME.deadlineMillis(job, time) - wallMillis);
+        long late = Math.max(remaining, StepUrgency.Tier.LATE.deadlineMillis(job, time) - wallMillis);
+        StepUrgency.Tier tier = StepUrgency.Tier.of(job, time, wallMillis + remaining);
+        double share = parallelShare(steps, onTime, wallMillis);
         for (LiveStep s : steps) {
-            add(s, onTime, part, demands.all);
+            add(s, onTime, share, demands.all);
             if (s.spec.longRunning() || tier == StepUrgency.Tier.ON_TIME) {
-                add(s, onTime, part, demands.onTime);
+                add(s, onTime, share, demands.onTime);
             } else if (tier == StepUrgency.Tier.LATE) {
-                add(s, late, part, demands.late);
+                add(s, late, share, demands.late);
             }
         }
     }
 
-    /** Returns which part of what the steps ask for, added up, they can take at one time: steps wait for each other. */
-    private double part(List<LiveStep> steps, long available, long wall) {
-        double asked = 0;
+    /** Returns the share of the steps' total demand that can be used at one time, since steps wait for each other. */
+    private double parallelShare(List<LiveStep> steps, long available, long wallMillis) {
+        double requested = 0;
         double ready = 0;
-        double widest = 0;
+        double largestStep = 0;
         for (LiveStep s : steps) {
-            double cpu = (double) s.room.cpuMillis() * s.open();
-            asked += cpu * Demand.share(state.expectedMillis(s), available);
-            widest = Math.max(widest, cpu);
-            ready += s.isReady(wall) ? cpu : 0;
+            double cpu = (double) s.room.cpuMillis() * s.unfinished();
+            requested += cpu * Demand.share(state.expectedMillis(s), available);
+            largestStep = Math.max(largestStep, cpu);
+            ready += s.isReady(wallMillis) ? cpu : 0;
         }
-        double most = Math.max(ready, widest);
-        return asked <= most ? 1 : most / asked;
+        double usable = Math.max(ready, largestStep);
+        return requested <= usable ? 1 : usable / requested;
     }
 
-    private void add(LiveStep s, long available, double part, Demand demand) {
+    private void add(LiveStep s, long available, double share, Demand demand) {
         long expected = state.expectedMillis(s);
         for (LiveTask t : s.tasks) {
             if (t.phase == Phase.DONE) {
                 continue;
             }
-            demand.spreadOver(t.workersWanted());
+            demand.spreadOver(t.workersNeeded());
             if (s.spec.longRunning()) {
                 demand.addLasting(s.room);
             } else {
-                demand.addFinite(s.room, t.leftMillis(expected), available, part, t.phase.onWorker());
+                demand.addFinite(s.room, t.remainingMillis(expected), available, share, t.phase.occupiesWorker());
             }
         }
         if (s.spec.longRunning() && s.spec.perWorkerMost() > 0) {
@@ -121,8 +121,8 @@
         }
     }
 
-    /** The smallest worker counts: what fits on it fits everywhere. */
-    private Room usualRoom() {
+    /** Returns the room of the smallest worker: a task that fits there fits everywhere. */
+    private Room smallestWorkerRoom() {
         return state.workers.values().stream()
                 .map(w -> w.facts().room())
                 .filter(r -> r.cpuMillis() > 0)
@@ -130,11 +130,12 @@
                 .orElse(Room.NONE);
     }
 
-    private List<WorkerLoad> loads() {
+    private List<WorkerLoad> workerLoads() {
         List<WorkerLoad> loads = new ArrayList<>();
         for (LiveWorker w : state.workers.values()) {
-            int finite = w.tasks.size() - w.lasting();
-            loads.add(new WorkerLoad(w.facts().id(), w.lasting(), finite, !state.isMissed(w) && !w.isOutOfReach()));
+            int finiteTasks = w.tasks.size() - w.longRunningCount();
+            loads.add(new WorkerLoad(
+                    w.facts().id(), w.longRunningCount(), finiteTasks, !state.isSilent(w) && !w.isUnreachable()));
         }
         loads.sort(Comparator.comparing(WorkerLoad::worker));
         return loads;
--- a/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/LastAttemptTest.java
@@ -29,15 +29,16 @@
 import org.lupinpaddle.core.job.TaskRecord;
 
 /**
- * An accepted job is given up 0.4 s after its begin though a good worker stands by. One of its tasks fails by chance on the good
- * worker; its second and third attempts go at once to two workers that fail everything, of which nobody knows yet: the owner is
- * new, and three pieces of evidence against a worker take longer to gather than three attempts of one task. The log shows three
- * {@code RUN_ENDED} with {@code FAILED} on three workers within 220 ms, no {@code WORKER_AVOIDED}, then {@code JOB_ENDED}.
+ * Guards against failing a job within 0.4 s of its start although a healthy worker is available. One task fails by
+ * chance on the healthy worker, and its second and third attempts go at once to two workers that fail everything. A
+ * new owner does not know that yet: three pieces of evidence against a worker take longer to collect than three
+ * attempts of one task. The log shows three {@code RUN_ENDED} with {@code FAILED} on three workers within 220 ms and
+ * no {@code WORKER_AVOIDED}, then {@code JOB_ENDED}.
  */
 class LastAttemptTest {
 
-    /** A job must not have nothing at work for longer, while there is room. */
-    private static final long NOTHING_AT_WORK_MILLIS = 3_000;
+    /** The longest time for which a job may have nothing running while there is room. */
+    private static final long MAX_IDLE_MILLIS = 3_000;
 
     private static final StepSpec TWO =
             StepSpec.builder(2, SchedulerDriver.NEED).build();
@@ -51,19 +52,19 @@
                 .orElseThrow();
     }
 
-    private void accept() {
-        d.saved();
+    private void acceptStarts() {
+        d.completeSaves();
         List.copyOf(d.port.starts).forEach(s -> d.scheduler.onStarted(s, OrderOutcome.ACCEPTED));
     }
 
-    /** Lets the newest run of a task fail; returns on which worker. */
-    private String fails(TaskId t, long number, RunningReport... others) {
+    /** Makes the newest run of a task fail and returns its worker. */
+    private String failRun(TaskId t, long number, RunStatus... others) {
         StartOrder s = startOf(t);
-        EndReport e = new EndReport(number, "a", t, s.run(), EndKind.FAILED, "");
-        d.passes(50);
-        d.answers(s.worker().id(), List.of(others), List.of(e));
-        d.passes(50);
-        accept();
+        RunResult e = new RunResult(number, "a", t, s.run(), EndKind.FAILED, "");
+        d.advance(50);
+        d.answerHold(s.worker().id(), List.of(others), List.of(e));
+        d.advance(50);
+        acceptStarts();
         return s.worker().id();
     }
 
@@ -71,86 +72,86 @@
         return new TaskId(0, 0, index);
     }
 
-    private void twoAttemptsOfTheFirstTaskFail() {
-        d.workers("w1", "w2", "w3");
+    private void failTwoAttemptsOfTheFirstTask() {
+        d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
-        d.job("a", TWO);
-        accept();
+        d.submit("a", TWO);
+        acceptStarts();
         assertEquals(startOf(task(0)).worker(), startOf(task(1)).worker(), "both run on one worker");
-        fails(task(0), 1, new RunningReport("a", task(1), 1, "", 50, -1));
-        fails(task(0), 1);
+        failRun(task(0), 1, new RunStatus("a", task(1), 1, "", 50, -1));
+        failRun(task(0), 1);
         assertEquals(3, d.port.starts.size() - (startOf(task(0)).run() == 3 ? 1 : 0));
     }
 
     @Test
-    void waitsForAWorkerOnWhichSomethingHasEndedWell() {
-        twoAttemptsOfTheFirstTaskFail();
-        d.passes(1_000);
-        assertEquals(2, startOf(task(0)).run(), "nothing speaks for the third worker yet");
+    void waitsForAWorkerWithASuccessfulRun() {
+        failTwoAttemptsOfTheFirstTask();
+        d.advance(1_000);
+        assertEquals(2, startOf(task(0)).run(), "no run has succeeded on the third worker yet");
     }
 
-    /** What has failed on the good worker by chance goes well there, and other work does too. */
+    /** The task failed on the healthy worker by chance; it and other tasks succeed there. */
     @Test
-    void goesToTheWorkerThatHasDoneWellSinceAlsoIfItFailedThereBefore() {
-        twoAttemptsOfTheFirstTaskFail();
+    void acceptsAWorkerThatHasSucceededSinceTheTaskFailedThere() {
+        failTwoAttemptsOfTheFirstTask();
         StartOrder second = startOf(task(1));
-        d.passes(500);
-        d.answers(
+        d.advance(500);
+        d.answerHold(
                 second.worker().id(),
                 List.of(),
                 List.of(
-                        new EndReport(1, "a", task(0), 1, EndKind.FAILED, ""),
-                        new EndReport(2, "a", task(1), second.run(), EndKind.DONE, "")));
-        accept();
+                        new RunResult(1, "a", task(0), 1, EndKind.FAILED, ""),
+                        new RunResult(2, "a", task(1), second.run(), EndKind.DONE, "")));
+        acceptStarts();
         assertEquals(3, startOf(task(0)).run());
         assertEquals(second.worker(), startOf(task(0)).worker());
     }
 
-    /** Where nothing ends well anywhere, a job that can not be done gets its answer all the same. */
+    /** If nothing succeeds anywhere, an impossible job must still be reported as failed. */
     @Test
-    void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
-        twoAttemptsOfTheFirstTaskFail();
-        for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
-            d.passes(250);
+    void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
+        failTwoAttemptsOfTheFirstTask();
+        for (int i = 0; i < MAX_IDLE_MILLIS / 250; i++) {
+            d.advance(250);
             for (String w : List.of("w1", "w2", "w3")) {
                 StartOrder s = startOf(task(1));
                 boolean there = s.worker().id().equals(w);
-                d.answers(
-                        w, there ? List.of(new RunningReport("a", task(1), 1, "", 60 + i, -1)) : List.of(), List.of());
+                d.answerHold(w, there ? List.of(new RunStatus("a", task(1), 1, "", 60 + i, -1)) : List.of(), List.of());
             }
-            d.saved();
+            d.completeSaves();
         }
         assertTrue(startOf(task(0)).run() == 3, "the third attempt has been made");
     }
 
-    /** Its caller had better hear soon that it can not be done: it fails where others end well. */
+    /** The caller should learn soon that the job fails where others succeed. */
     @Test
-    void isMadeAtOnceForWhatHasFailedOnAProvenWorker() {
-        d.workers("w1", "w2", "w3");
+    void isNotDelayedAfterAFailureOnAProvenWorker() {
+        d.listWorkers("w1", "w2", "w3");
         for (String w : List.of("w1", "w2", "w3")) {
-            d.answers(w, List.of(), List.of());
+            d.answerHold(w, List.of(), List.of());
         }
-        d.job("b", StepSpec.builder(1, SchedulerDriver.NEED).build());
-        accept();
+        d.submit("b", StepSpec.builder(1, SchedulerDriver.NEED).build());
+        acceptStarts();
         String proven = d.lastStart().worker().id();
-        d.passes(50);
-        d.answers(proven, List.of(), List.of(new EndReport(1, "b", task(0), 1, EndKind.DONE, "")));
-        d.job("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
-        d.passes(50);
-        accept();
+        d.advance(50);
+        d.answerHold(proven, List.of(), List.of(new RunResult(1, "b", task(0), 1, EndKind.DONE, "")));
+        d.submit("a", StepSpec.builder(1, SchedulerDriver.NEED).build());
+        d.advance(50);
+        acceptStarts();
         assertEquals("a", d.lastStart().jobId());
         assertEquals(proven, d.lastStart().worker().id());
-        fails(task(0), 2);
-        fails(task(0), 1);
+        failRun(task(0), 2);
+        failRun(task(0), 1);
         assertEquals(3, d.lastStart().run());
     }
 
     /**
-     * Two attempts fail under one owner, one of them on a worker that fails everything; all entries lose power; the next owner
-     * sends the third to that worker at once, since it knows nothing of it. The log shows {@code TASK_PLACED} with two attempts a
-     * millisecond after {@code JOB_TAKEN}, while ends of the same answer show which worker does well.
+     * Guards against sending the last attempt at once to a faulty worker after a change of owner. Two attempts fail
+     * under one owner, one of them on a worker that fails everything; after a power failure of all entries the next
+     * owner does not know about that worker. The log shows {@code TASK_PLACED} with two attempts a millisecond after
+     * {@code JOB_TAKEN}, while results in the same answer show which worker is healthy.
      */
     @Nested
     class UnderANewOwner {
@@ -161,29 +162,29 @@
                 "",
                 0);
 
-        private void takesOver() {
-            d.workers("w1", "w2");
-            d.answers("w1", List.of(), List.of());
-            d.job("a", TWO_FAILED, TWO);
-            d.saved();
+        private void takeOverAfterTwoFailures() {
+            d.listWorkers("w1", "w2");
+            d.answerHold("w1", List.of(), List.of());
+            d.submit("a", TWO_FAILED, TWO);
+            d.completeSaves();
         }
 
         @Test
-        void waitsForAWorkerOnWhichSomethingHasEndedWell() {
-            takesOver();
-            assertTrue(d.port.starts.isEmpty(), "nothing speaks for the first worker yet");
-            d.answers("w2", List.of(), List.of(new EndReport(1, "a", task(1), 1, EndKind.DONE, "")));
-            d.saved();
+        void waitsForAWorkerWithASuccessfulRun() {
+            takeOverAfterTwoFailures();
+            assertTrue(d.port.starts.isEmpty(), "no run has succeeded on the first worker yet");
+            d.answerHold("w2", List.of(), List.of(new RunResult(1, "a", task(1), 1, EndKind.DONE, "")));
+            d.completeSaves();
             assertEquals("w2", d.lastStart().worker().id());
         }
 
         @Test
-        void goesAnywhereBeforeItsJobHasHadNothingAtWorkForTooLong() {
-            takesOver();
-            for (int i = 0; i < NOTHING_AT_WORK_MILLIS / 250; i++) {
-                d.passes(250);
-                d.answers("w1", List.of(), List.of());
-                d.saved();
+        void acceptsAnyWorkerBeforeItsJobIsIdleForTooLong() {
+            takeOverAfterTwoFailures();
+            for (int i = 0; i < MAX_IDLE_MILLIS / 250; i++) {
+                d.advance(250);
+                d.answerHold("w1", List.of(), List.of());
+                d.completeSaves();
             }
             assertEquals(task(0), d.lastStart().task());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
@@ -36,9 +36,9 @@
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
- * What the owner of a large service spends on deciding, in processor time, on virtual time: a queue asks for more than
- * the workers carry, then for as much as they carry, then for nothing. The last line is a hash over all that was asked
- * of the port: a change that is to keep the decisions keeps it.
+ * Measures the processor time that the owner of a large service spends on scheduling, on virtual time: jobs first
+ * exceed the workers' capacity, then match it, then stop. The last line is a hash of all calls to the port; a change
+ * that preserves the decisions preserves it.
  */
 public final class OwnerExperiment implements SchedulerPort {
 
@@ -46,14 +46,14 @@
     private static final Room ROOM = new Room(8_000, 16_000, 0);
     private static final StepSpec.Need NEED = new StepSpec.Need(1_000, 100, 0);
     private static final int LASTING_JOBS = 5;
-    // Until these moments jobs come at these rates; a job has two steps of four tasks.
+    // Arrival rates of jobs until the given times; a job has two steps of four tasks.
     private static final long CROWDED_UNTIL = 12_000;
     private static final double CROWDED_PER_SECOND = 70;
     private static final long BUSY_UNTIL = 60_000;
     private static final double BUSY_PER_SECOND = 36;
     private static final long END = 80_000;
     private static final int TASKS = 4;
-    // As the host of a scheduler does it.
+    // Same as in the host of a scheduler.
     private static final long TICK_MILLIS = 25;
     private static final long TICK_GAP_MILLIS = 5;
     private static final long REPORT_MILLIS = 120;
@@ -92,8 +92,8 @@
 
     private final class Worker {
         final WorkerFacts facts;
-        final Map<String, RunningReport> running = new LinkedHashMap<>();
-        final List<EndReport> ends = new ArrayList<>();
+        final Map<String, RunStatus> running = new LinkedHashMap<>();
+        final List<RunResult> ends = new ArrayList<>();
         long lastEnd;
         Runnable waiting = () -> {};
 
@@ -104,7 +104,7 @@
         void start(StartOrder o) {
             boolean lasting = o.jobId().startsWith("lasting");
             String name = o.jobId() + o.task();
-            running.put(name, new RunningReport(o.jobId(), o.task(), o.run(), "", lasting ? 100 : 50, -1));
+            running.put(name, new RunStatus(o.jobId(), o.task(), o.run(), "", lasting ? 100 : 50, -1));
             if (!lasting) {
                 at(1_000 + Math.floorMod(name.hashCode(), 700), () -> end(o, name));
             }
@@ -112,7 +112,7 @@
 
         private void end(StartOrder o, String name) {
             if (running.remove(name) != null) {
-                ends.add(new EndReport(++lastEnd, o.jobId(), o.task(), o.run(), EndKind.DONE, ""));
+                ends.add(new RunResult(++lastEnd, o.jobId(), o.task(), o.run(), EndKind.DONE, ""));
                 ended++;
                 answer();
             }
@@ -124,8 +124,8 @@
             waiting = () -> {
                 if (!answered[0]) {
                     answered[0] = true;
-                    HoldAnswer a = new HoldAnswer(100_000 + now, List.copyOf(running.values()), List.copyOf(ends));
-                    at(CALL_MILLIS, () -> event("held", () -> scheduler.onHeld(o, sentAt, a)));
+                    HoldResponse a = new HoldResponse(100_000 + now, List.copyOf(running.values()), List.copyOf(ends));
+                    at(CALL_MILLIS, () -> event("held", () -> scheduler.onHoldAnswered(o, sentAt, a)));
                 }
             };
             if (!ends.isEmpty() || o.waitMillis() == 0) {
@@ -151,7 +151,7 @@
         }
     }
 
-    /** Prints what was spent, {@code rounds} times; the first rounds contain the virtual machine's own start. */
+    /** Prints the time spent, {@code rounds} times; the first rounds include the start of the virtual machine. */
     public static void main(String[] args) {
         int rounds = args.length > 0 ? Integer.parseInt(args[0]) : 1;
         for (int i = 0; i < rounds; i++) {
@@ -207,7 +207,7 @@
 
     private void list() {
         scheduler.onWorkers(workers.values().stream().map(w -> w.facts).toList());
-        scheduler.onWorkersKnown(now);
+        scheduler.onWorkersConfirmed(now);
     }
 
     private void tellLoad() {
@@ -299,12 +299,12 @@
     }
 
     @Override
-    public void advise(AdviceOrder order) {
+    public void advise(AdviceRequest order) {
         told("advise", order);
     }
 
     @Override
-    public void save(List<Saving> batch) {
+    public void save(List<ProgressWrite> batch) {
         timed("(codec)", () -> batch.forEach(s -> RecordCodec.write(s.progress())));
         told("save", batch);
         at(WRITE_MILLIS, () -> event("saved", () -> scheduler.onSaved(batch)));
--- a/core/src/test/java/org/lupinpaddle/core/run/RecordPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.StepSpec;
 
-/** What one write takes, and what becomes of records that the store will never take. */
-class RecordPassTest {
+/** Tests the size of writes, and records that the store rejects permanently. */
+class PersistencePassTest {
 
-    private static final long GATHERING_MILLIS = 50;
+    private static final long BATCH_MILLIS = 50;
 
     private final SchedulerDriver d = new SchedulerDriver();
 
@@ -40,73 +40,76 @@
         return StepSpec.builder(tasks, new StepSpec.Need(1, 1, 0)).build();
     }
 
-    private void begins() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
+    private void startTask() {
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
     }
 
     @Nested
-    class Sizes {
+    class TheSize {
 
-        /** 15 jobs of 1,000 tasks are 1.2 MB in one call: longer on a link of 7 Mbit/s than a call may take. */
+        /** 15 jobs of 1,000 tasks take 1.2 MB in one call, which exceeds the timeout of a call on a 7 Mbit/s link. */
         @Test
-        void ofWritesAreBoundedByTheirTasks() {
-            begins();
+        void ofWritesIsLimitedByTheirTasks() {
+            startTask();
             for (int i = 0; i < 15; i++) {
-                d.job("job" + i, step(1_000));
+                d.submit("job" + i, step(1_000));
             }
             Set<Integer> sizes = Set.of();
             int written = 0;
             for (int round = 0; round < 15; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 sizes = d.port.saves.stream().map(List::size).collect(Collectors.toSet());
                 written += d.port.saves.stream().mapToInt(List::size).sum();
                 assertTrue(Set.of(1).containsAll(sizes), "records in one write: " + sizes);
-                d.saved();
+                d.completeSaves();
             }
             assertTrue(written >= 4, "written: " + written);
         }
 
         @Test
-        void ofSmallJobsAreNot() {
-            begins();
+        void ofWritesOfSmallJobsIsNotLimitedByTasks() {
+            startTask();
             for (int i = 0; i < 15; i++) {
-                d.job("job" + i, step(10));
+                d.submit("job" + i, step(10));
             }
-            d.passes(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             assertTrue(d.port.saves.stream().anyMatch(s -> s.size() > 10));
         }
     }
 
     /**
-     * A job is cancelled while hundreds of its tasks run, and the store refuses the record that says so. It was written again
-     * as it was, each second and in vain: the ends on its workers never became durable, so that they were never called empty
-     * and no instance of theirs could be maintained. The log had {@code progress-rejected} and nothing else.
+     * Guards against repeating a rejected record forever. A job is cancelled while hundreds of its tasks run, and the
+     * store rejects its record. The same record was written again each second, so the results on its workers never
+     * became durable, the workers were never reported as empty and their instances could not be maintained. The log
+     * showed only {@code progress-rejected}.
      */
     @Nested
-    class ARecordRefusedAfterItsJobHasEnded {
+    class ARecordRejectedAfterTheEndOfItsJob {
 
         private static final long RETRY_MILLIS = 1_100;
 
         @Test
-        void isWrittenWithoutWhatASuccessorCanFindOut() {
-            begins();
-            d.job("a", step(300));
-            d.passes(GATHERING_MILLIS);
-            d.saved();
+        void isWrittenWithoutItsTasks() {
+            startTask();
+            d.submit("a", step(300));
+            d.advance(BATCH_MILLIS);
+            d.completeSaves();
             d.scheduler.onCancel(new JobKey("q", "a"));
-            d.passes(GATHERING_MILLIS);
-            List<SchedulerPort.Saving> refused = d.port.saves.remove(0);
+            d.advance(BATCH_MILLIS);
+            List<SchedulerPort.ProgressWrite> refused = d.port.saves.remove(0);
             assertTrue(refused.get(0).progress().tasks().size() > 100);
             d.scheduler.onSaveRejected(refused);
-            d.passes(RETRY_MILLIS);
-            SchedulerPort.Saving again = d.port.saves.remove(0).get(0);
+            d.advance(RETRY_MILLIS);
+            SchedulerPort.ProgressWrite again = d.port.saves.remove(0).get(0);
             assertEquals(JobState.CANCELLED, again.progress().state());
-            assertTrue(again.progress().tasks().isEmpty(), "workers tell a successor what runs, and it stops that");
+            assertTrue(
+                    again.progress().tasks().isEmpty(),
+                    "workers report running tasks to the next owner, which stops them");
         }
     }
 
-    /** A store that takes 250 ms for its answers, while a large service changes some 700 records a second. */
+    /** A store with a latency of 250 ms, while a large service changes about 700 records per second. */
     @Nested
     class ASlowStore {
 
@@ -117,45 +120,45 @@
         private int writtenWithin(long millis) {
             int written = 0;
             for (long t = 0; t < millis; t += STEP_MILLIS) {
-                d.passes(STEP_MILLIS);
+                d.advance(STEP_MILLIS);
                 if (t % ANSWER_MILLIS == 0) {
                     written += d.port.saves.stream().mapToInt(List::size).sum();
-                    d.saved();
+                    d.completeSaves();
                 }
             }
             return written;
         }
 
         @Test
-        void doesNotBoundWhatIsWrittenBelowWhatALargeServiceChanges() {
-            begins();
+        void sustainsTheChangeRateOfALargeService() {
+            startTask();
             for (int i = 0; i < JOBS; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
-            assertTrue(writtenWithin(750) >= JOBS, "700 a second are 400 within 600 ms");
+            assertTrue(writtenWithin(750) >= JOBS, "700 per second are 400 within 600 ms");
         }
 
         @Test
-        void isNotAskedFasterThanASoundOne() {
-            begins();
+        void getsNoMoreWritesThanAFastOne() {
+            startTask();
             for (int i = 0; i < JOBS; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
             d.port.saves.clear();
             int before = d.port.saves.size();
-            d.passes(STEP_MILLIS);
-            assertTrue(d.port.saves.size() - before <= 10, "400 writes a second are 10 in 25 ms");
+            d.advance(STEP_MILLIS);
+            assertTrue(d.port.saves.size() - before <= 10, "400 writes per second are 10 in 25 ms");
         }
     }
 
     @Nested
-    class Rejected {
+    class RejectedRecords {
 
-        /** Refuses each write that holds the job, as a store does for which its record is too large. */
+        /** Rejects each write that contains the job, as a store does if its record is too large. */
         private void answerAllBut(String job) {
-            List<List<SchedulerPort.Saving>> all = List.copyOf(d.port.saves);
+            List<List<SchedulerPort.ProgressWrite>> all = List.copyOf(d.port.saves);
             d.port.saves.clear();
-            for (List<SchedulerPort.Saving> batch : all) {
+            for (List<SchedulerPort.ProgressWrite> batch : all) {
                 if (batch.stream()
                         .anyMatch(s -> s.job().id().equals(job) && !s.progress().over())) {
                     d.scheduler.onSaveRejected(batch);
@@ -165,33 +168,33 @@
             }
         }
 
-        private boolean starts(String job) {
+        private boolean isStarted(String job) {
             return d.port.starts.stream().anyMatch(s -> s.jobId().equals(job));
         }
 
         @Test
-        void recordsKeepNoOtherJobBack() {
-            begins();
+        void doNotBlockOtherJobs() {
+            startTask();
             for (int i = 0; i < 5; i++) {
-                d.job("job" + i, step(1));
+                d.submit("job" + i, step(1));
             }
             for (int round = 0; round < 10; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 answerAllBut("job2");
             }
-            d.passes(GATHERING_MILLIS);
+            d.advance(BATCH_MILLIS);
             for (int i = 0; i < 5; i++) {
-                assertEquals(i != 2, starts("job" + i), "job" + i);
+                assertEquals(i != 2, isStarted("job" + i), "job" + i);
             }
         }
 
         @Test
-        void recordsEndTheirJobSinceNothingOfItCanBeKept() {
-            begins();
-            d.job("large", step(2));
-            List<SchedulerPort.Saving> written = new ArrayList<>();
+        void endTheirJob() {
+            startTask();
+            d.submit("large", step(2));
+            List<SchedulerPort.ProgressWrite> written = new ArrayList<>();
             for (int round = 0; round < 5; round++) {
-                d.passes(GATHERING_MILLIS);
+                d.advance(BATCH_MILLIS);
                 d.port.saves.forEach(written::addAll);
                 answerAllBut("large");
             }
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
@@ -27,152 +27,153 @@
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** Which task is placed next, and when none is. */
+/** Tests which task is placed next, and when none is placed. */
 class PlacementPassTest {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
 
     private final SchedulerDriver d = new SchedulerDriver();
 
-    /** A step that fills a worker whole. */
-    private static StepSpec wide(long estimateMillis) {
+    /** Returns a step whose task needs a whole worker. */
+    private static StepSpec wholeWorkerStep(long estimateMillis) {
         return StepSpec.builder(1, new StepSpec.Need(4_000, 100, 0))
                 .estimateMillis(estimateMillis)
                 .build();
     }
 
-    private void oneWorkerIsBusy() {
-        d.workers("w1");
-        d.answers("w1", List.of(), List.of());
-        d.job("busy", wide(1_000));
-        d.saved();
+    private void fillTheOnlyWorker() {
+        d.listWorkers("w1");
+        d.answerHold("w1", List.of(), List.of());
+        d.submit("busy", wholeWorkerStep(1_000));
+        d.completeSaves();
     }
 
-    private void theWorkerIsFree() {
-        RunningReport none = new RunningReport("busy", FIRST, 1, "", 50, -1);
-        d.answers("w1", List.of(none), List.of());
-        d.passes(10);
-        d.answers("w1", List.of(), List.of(new EndReport(1, "busy", FIRST, 1, EndKind.DONE, "")));
-        d.saved();
+    private void freeTheWorker() {
+        RunStatus none = new RunStatus("busy", FIRST, 1, "", 50, -1);
+        d.answerHold("w1", List.of(none), List.of());
+        d.advance(10);
+        d.answerHold("w1", List.of(), List.of(new RunResult(1, "busy", FIRST, 1, EndKind.DONE, "")));
+        d.completeSaves();
     }
 
     @Nested
-    class WithTooLittleRoom {
+    class UnderOverload {
 
         @Test
-        void theJobWithTheLeastTimeLeftGoesFirst() {
-            oneWorkerIsBusy();
-            d.job("patient", wide(9_000));
-            d.passes(100);
-            d.job("pressed", wide(1_000));
-            theWorkerIsFree();
+        void jobWithTheLeastSlackIsFirst() {
+            fillTheOnlyWorker();
+            d.submit("patient", wholeWorkerStep(9_000));
+            d.advance(100);
+            d.submit("pressed", wholeWorkerStep(1_000));
+            freeTheWorker();
             assertEquals("pressed", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatHasBegunGoesBeforeOneThatIsMorePressed() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+        void startedJobPrecedesAMoreUrgentOne() {
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             StepSpec two = StepSpec.builder(2, new StepSpec.Need(4_000, 100, 0))
                     .estimateMillis(9_000)
                     .build();
-            d.job("busy", two);
-            d.saved();
-            d.job("pressed", wide(1_000));
-            theWorkerIsFree();
+            d.submit("busy", two);
+            d.completeSaves();
+            d.submit("pressed", wholeWorkerStep(1_000));
+            freeTheWorker();
             assertEquals("busy", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatWouldHardlyEndInTimeIsBegunAfterOneThatSurelyDoes() {
-            oneWorkerIsBusy();
-            d.job("hardly", wide(4_000));
-            d.passes(2_200);
-            d.job("surely", wide(9_000));
-            theWorkerIsFree();
+        void jobWithLittleMarginIsStartedAfterOneWithMore() {
+            fillTheOnlyWorker();
+            d.submit("hardly", wholeWorkerStep(4_000));
+            d.advance(2_200);
+            d.submit("surely", wholeWorkerStep(9_000));
+            freeTheWorker();
             assertEquals("surely", d.lastStart().jobId());
         }
 
         @Test
-        void aJobThatIsLateAnywayGoesAfterOneThatIsNot() {
-            oneWorkerIsBusy();
-            d.job("late", wide(1_000));
-            d.passes(2_500);
-            d.job("fresh", wide(9_000));
-            theWorkerIsFree();
+        void lateJobFollowsOneThatIsNot() {
+            fillTheOnlyWorker();
+            d.submit("late", wholeWorkerStep(1_000));
+            d.advance(2_500);
+            d.submit("fresh", wholeWorkerStep(9_000));
+            freeTheWorker();
             assertEquals("fresh", d.lastStart().jobId());
         }
     }
 
     @Nested
-    class WithRoomOfDifferentKinds {
+    class WithSeveralResources {
 
         private WorkerFacts worker(String id, long cpuMillis, long memoryMb) {
             return new WorkerFacts(
                     id, "clips", "at-" + id, "north", false, 0, new Room(cpuMillis, memoryMb, 0), List.of("rack"));
         }
 
-        private StepSpec asking(long cpuMillis, long memoryMb) {
+        private StepSpec stepWithNeed(long cpuMillis, long memoryMb) {
             return StepSpec.builder(1, new StepSpec.Need(cpuMillis, memoryMb, 0))
                     .build();
         }
 
-        private List<String> started() {
-            d.saved();
-            d.passes(100);
-            d.saved();
+        private List<String> startedJobs() {
+            d.completeSaves();
+            d.advance(100);
+            d.completeSaves();
             return d.port.starts.stream().map(StartOrder::jobId).toList();
         }
 
         @Test
-        void aStepThatNoOneWorkerHasRoomForKeepsNoOtherOneWaiting() {
-            d.listed(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
-            d.job("both", asking(4_000, 8_000));
-            d.job("cpu", asking(4_000, 100));
-            d.job("memory", asking(500, 8_000));
-            d.job("more", asking(500, 100));
-            assertEquals(List.of("cpu", "memory"), started().stream().sorted().toList());
+        void stepThatFitsNowhereDoesNotBlockOthers() {
+            d.listAndAnswer(worker("much-cpu", 4_000, 100), worker("much-memory", 500, 8_000));
+            d.submit("both", stepWithNeed(4_000, 8_000));
+            d.submit("cpu", stepWithNeed(4_000, 100));
+            d.submit("memory", stepWithNeed(500, 8_000));
+            d.submit("more", stepWithNeed(500, 100));
+            assertEquals(
+                    List.of("cpu", "memory"), startedJobs().stream().sorted().toList());
         }
 
         @Test
-        void aSmallStepIsPlacedWhereLargerAndMoreUrgentOnesFitNoMore() {
-            d.listed(worker("w1", 4_000, 8_000));
-            d.job("a", asking(3_000, 100));
-            d.job("b", asking(3_000, 100));
-            d.job("c", asking(1_000, 100));
-            assertEquals(List.of("a", "c"), started());
+        void smallStepIsPlacedIfLargerAndMoreUrgentOnesDoNotFit() {
+            d.listAndAnswer(worker("w1", 4_000, 8_000));
+            d.submit("a", stepWithNeed(3_000, 100));
+            d.submit("b", stepWithNeed(3_000, 100));
+            d.submit("c", stepWithNeed(1_000, 100));
+            assertEquals(List.of("a", "c"), startedJobs());
         }
 
         @Test
-        void aStepThatAsksForNothingIsPlacedOnAFullWorker() {
-            d.listed(worker("w1", 4_000, 8_000));
-            d.job("a", asking(4_000, 8_000));
-            d.job("b", asking(0, 0));
-            assertEquals(List.of("a", "b"), started());
+        void stepWithoutDemandIsPlacedOnAFullWorker() {
+            d.listAndAnswer(worker("w1", 4_000, 8_000));
+            d.submit("a", stepWithNeed(4_000, 8_000));
+            d.submit("b", stepWithNeed(0, 0));
+            assertEquals(List.of("a", "b"), startedJobs());
         }
 
         @Test
-        void roomThatAnEndGivesBackIsSeen() {
-            oneWorkerIsBusy();
-            d.passes(100);
-            d.job("next", wide(1_000));
+        void roomFreedByAnEndedRunIsUsed() {
+            fillTheOnlyWorker();
+            d.advance(100);
+            d.submit("next", wholeWorkerStep(1_000));
             assertEquals(1, d.port.starts.size());
-            theWorkerIsFree();
+            freeTheWorker();
             assertEquals("next", d.lastStart().jobId());
         }
     }
 
     @Nested
-    class WithAnOldListOfWorkers {
+    class WithAStaleListOfWorkers {
 
         @Test
         void nothingIsPlaced() {
-            d.workers("w1");
-            d.answers("w1", List.of(), List.of());
+            d.listWorkers("w1");
+            d.answerHold("w1", List.of(), List.of());
             d.now += 2_600;
-            d.jobWithoutNews("a", wide(1_000));
-            assertTrue(d.port.saves.isEmpty(), "a worker may drain by now");
-            d.passes(0);
+            d.submitWithStaleList("a", wholeWorkerStep(1_000));
+            assertTrue(d.port.saves.isEmpty(), "a worker may be draining by now");
+            d.advance(0);
             assertEquals(1, d.port.saves.size());
         }
     }
