--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetPlanner.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetPlanner.java
@@ -23,7 +23,7 @@
 import java.util.stream.Collectors;
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.common.Clock;
-import org.lupinpaddle.core.fleet.InstanceErrand.Phase;
+import org.lupinpaddle.core.fleet.OngoingOperation.Phase;
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
@@ -38,34 +38,34 @@
 
     private static final long RETRY_MILLIS = 300;
     // The platform's list lags by about a second; after this an instance that is up is taken to be back.
-    private static final long LIST_LAG_MILLIS = 2_500;
+    private static final long MAX_LIST_LAG_MILLIS = 2_500;
     // A request is in the store, and seen there, within some dozens of milliseconds of a store that works.
-    private static final long ASK_MILLIS = 10_000;
+    private static final long EVACUATION_REQUEST_TIMEOUT_MILLIS = 10_000;
     // A move is a matter of cost only: where emptying takes so long, it is not worth it.
-    private static final long MOVE_PATIENCE_MILLIS = 8_000;
+    private static final long MOVE_EVACUATION_TIMEOUT_MILLIS = 8_000;
 
     private final FleetState state;
     private final PoolSizer sizer;
-    private final WavePass waves;
-    private boolean listed;
+    private final UpkeepScheduler upkeepScheduler;
+    private boolean listReceived;
 
     /**
      * Makes the planner of a fleet whose ownership has just been won.
      *
      * @param clock for the owner's own waits
-     * @param wall the time of day, by which a wave's time runs over changes of owner
+     * @param wallClock the time of day, by which a wave's time runs over changes of owner
      */
-    public FleetPlanner(FleetTiming timing, FleetPort port, Clock clock, Clock wall) {
-        state = new FleetState(timing, port, clock, wall);
+    public FleetPlanner(FleetTiming timing, FleetPort port, Clock clock, Clock wallClock) {
+        state = new FleetState(timing, port, clock, wallClock);
         sizer = new PoolSizer(state);
-        waves = new WavePass(state);
+        upkeepScheduler = new UpkeepScheduler(state);
     }
 
     /** Takes in the platform's list. What an incomplete one does not name may be behind a row that can not be read. */
     public void onInstances(InstanceList list) {
-        listed = true;
-        state.listIsWhole = list.isWhole();
-        if (list.isWhole()) {
+        listReceived = true;
+        state.listComplete = list.isComplete();
+        if (list.isComplete()) {
             state.instances.clear();
         } else {
             state.instances.replaceAll((id, i) -> PlatformInstance.unknown(id));
@@ -78,13 +78,13 @@
      * alone; until this is known nothing is ordered. Fewer of them may be told later, when the life that ordered them is
      * known to be over.
      */
-    public void onEarlierOrders(Map<String, Long> leftAloneUntil) {
-        state.earlierOrders(leftAloneUntil);
+    public void onPredecessorOrders(Map<String, Long> blockedUntilByInstance) {
+        state.onPredecessorOrders(blockedUntilByInstance);
     }
 
     /** Returns how many errands are under way. */
-    public int errands() {
-        return state.errands.size();
+    public int operationCount() {
+        return state.ongoingOperations.size();
     }
 
     /** Takes in the services of the configuration. */
@@ -94,19 +94,20 @@
 
     /** Takes in a report of a service's owner. */
     public void onReport(String service, ServiceReport report) {
-        state.report(service, report);
+        state.onReport(service, report);
     }
 
     /** Takes in all evacuations that are asked for; those of an earlier owner's errands are gone on with. */
     public void onEvacuations(Map<EvacuationRecord, String> serviceByRecord) {
         state.evacuations.clear();
         serviceByRecord.keySet().forEach(r -> state.evacuations.put(r.worker(), r));
-        serviceByRecord.forEach(this::inherit);
+        serviceByRecord.forEach(this::resumeOperation);
     }
 
-    private void inherit(EvacuationRecord r, String service) {
-        boolean known = state.errands.values().stream().anyMatch(e -> e.worker.equals(r.worker()));
-        if (known || !listed || state.released.contains(r.worker())) {
+    private void resumeOperation(EvacuationRecord r, String service) {
+        boolean alreadyOngoing =
+                state.ongoingOperations.values().stream().anyMatch(ongoing -> ongoing.worker.equals(r.worker()));
+        if (alreadyOngoing || !listReceived || state.releasedWorkers.contains(r.worker())) {
             return;
         }
         PlatformInstance i = state.instances.get(r.instance());
@@ -116,12 +117,13 @@
         boolean current = i != null
                 && i.worker().equals(r.worker())
                 && i.pool().equals(service)
-                && !state.errands.containsKey(r.instance());
-        Errand.parse(r.errand())
-                .filter(e -> current)
+                && !state.ongoingOperations.containsKey(r.instance());
+        InstanceOperation.parse(r.errand())
+                .filter(ongoing -> current)
                 .ifPresentOrElse(
-                        e -> state.errands.put(
-                                r.instance(), new InstanceErrand(r.instance(), e, service, r.worker(), state.now())),
+                        ongoing -> state.ongoingOperations.put(
+                                r.instance(),
+                                new OngoingOperation(r.instance(), ongoing, service, r.worker(), state.now())),
                         () -> state.port.endEvacuation(service, r.worker()));
     }
 
@@ -132,151 +134,157 @@
 
     /** Takes in how far an earlier owner has brought a wave. */
     public void onUpkeep(long wave, UpkeepRecord record) {
-        state.begun(wave).addAll(record.begun());
+        state.begunInstances(wave).addAll(record.begun());
         if (record.completed()) {
             state.completed.add(wave);
         }
-        Long seen = record.seenMillis();
-        if (seen != null) {
-            state.waveSeen.put(wave, seen);
+        Long firstSeenMillis = record.seenMillis();
+        if (firstSeenMillis != null) {
+            state.waveFirstSeenMillis.put(wave, firstSeenMillis);
         }
     }
 
     /** Returns the instances that are down for their upkeep, or about to be: a successor must count them. */
     public Set<String> inUpkeep() {
-        return state.errands.values().stream()
-                .filter(e -> e.errand.kind() == Errand.Kind.UPKEEP && e.phase != Phase.EMPTYING)
-                .map(e -> e.instance)
+        return state.ongoingOperations.values().stream()
+                .filter(ongoing ->
+                        ongoing.operation.kind() == InstanceOperation.Kind.UPKEEP && ongoing.phase != Phase.EVACUATING)
+                .map(ongoing -> ongoing.instance)
                 .collect(Collectors.toSet());
     }
 
     /** Takes in what became of an order. */
-    public void onOrdered(String instance, Errand errand, InstanceOrderOutcome outcome) {
-        InstanceErrand e = state.errands.get(instance);
-        if (e == null || !e.errand.equals(errand)) {
+    public void onOrderOutcome(String instance, InstanceOperation operation, InstanceOrderOutcome outcome) {
+        OngoingOperation ongoing = state.ongoingOperations.get(instance);
+        if (ongoing == null || !ongoing.operation.equals(operation)) {
             return;
         }
-        e.orderInFlight = false;
-        state.port.note("errand-ordered", instance, "errand=" + errand + " outcome=" + outcome);
+        ongoing.orderInFlight = false;
+        state.port.logDecision("errand-ordered", instance, "errand=" + operation + " outcome=" + outcome);
         switch (outcome) {
-            case TAKEN -> taken(e);
-            case BUSY, REFUSED, UNKNOWN, FENCED -> e.orderDueAt = state.now() + RETRY_MILLIS;
+            case TAKEN -> onOrderAccepted(ongoing);
+            case BUSY, REFUSED, UNKNOWN, FENCED -> ongoing.orderDueAt = state.now() + RETRY_MILLIS;
             case NOT_OF_WAVE -> {
-                begun(e);
-                state.end(e, "not of the wave");
+                recordBegun(ongoing);
+                state.endOperation(ongoing, "not of the wave");
             }
             case IMPOSSIBLE -> {
-                state.impossibleMoves.add(instance + ">" + errand.target());
-                begun(e);
-                state.end(e, "the platform says it is impossible");
+                state.impossibleMoves.add(instance + ">" + operation.target());
+                recordBegun(ongoing);
+                state.endOperation(ongoing, "the platform says it is impossible");
             }
         }
     }
 
-    private void taken(InstanceErrand e) {
-        e.phase = Phase.AWAITING;
-        e.takenAt = state.now();
-        begun(e);
+    private void onOrderAccepted(OngoingOperation ongoing) {
+        ongoing.phase = Phase.AWAITING_COMPLETION;
+        ongoing.acceptedAt = state.now();
+        recordBegun(ongoing);
     }
 
-    private void begun(InstanceErrand e) {
-        if (e.errand.kind() == Errand.Kind.UPKEEP) {
-            long wave = Long.parseLong(e.errand.target());
-            state.begun(wave).add(e.instance);
+    private void recordBegun(OngoingOperation ongoing) {
+        if (ongoing.operation.kind() == InstanceOperation.Kind.UPKEEP) {
+            long wave = Long.parseLong(ongoing.operation.target());
+            state.begunInstances(wave).add(ongoing.instance);
             state.port.writeUpkeep(
-                    wave, new UpkeepRecord(List.copyOf(state.begun(wave)), false, state.seenMillis(wave)));
+                    wave,
+                    new UpkeepRecord(List.copyOf(state.begunInstances(wave)), false, state.firstSeenMillis(wave)));
         }
     }
 
     /** Does all that is due. Call after each event, and every few hundred milliseconds. */
     public void tick() {
-        if (!listed || state.earlierOrders == null) {
+        if (!listReceived || state.predecessorOrders == null) {
             return;
         }
-        new ArrayList<>(state.errands.values()).forEach(this::step);
-        waves.run();
+        new ArrayList<>(state.ongoingOperations.values()).forEach(this::advance);
+        upkeepScheduler.run();
         sizer.run();
         // Instances that run nothing need no emptying: their orders go out at once.
-        state.errands.values().stream()
-                .filter(e -> e.phase == Phase.ORDERING)
+        state.ongoingOperations.values().stream()
+                .filter(ongoing -> ongoing.phase == Phase.ORDERING)
                 .toList()
-                .forEach(this::stepOrdering);
+                .forEach(this::advanceOrder);
     }
 
-    private void step(InstanceErrand e) {
-        switch (e.phase) {
-            case EMPTYING -> stepEmptying(e);
-            case ORDERING -> stepOrdering(e);
-            case AWAITING -> stepAwaiting(e);
+    private void advance(OngoingOperation ongoing) {
+        switch (ongoing.phase) {
+            case EVACUATING -> advanceEvacuation(ongoing);
+            case ORDERING -> advanceOrder(ongoing);
+            case AWAITING_COMPLETION -> advanceCompletion(ongoing);
         }
     }
 
-    private void stepEmptying(InstanceErrand e) {
-        PlatformInstance i = state.instances.get(e.instance);
+    private void advanceEvacuation(OngoingOperation ongoing) {
+        PlatformInstance i = state.instances.get(ongoing.instance);
         if (i != null && i.state() == PlatformInstance.State.UNKNOWN) {
             return;
         }
-        if (i == null || !i.worker().equals(e.worker) || i.state() != PlatformInstance.State.UP) {
-            state.end(e, "the instance changed while it was emptied");
+        if (i == null || !i.worker().equals(ongoing.worker) || i.state() != PlatformInstance.State.UP) {
+            state.endOperation(ongoing, "the instance changed while it was emptied");
             return;
         }
-        EvacuationRecord r = state.evacuations.get(e.worker);
-        if (r == null && state.now() - e.begunAt > ASK_MILLIS) {
-            state.end(e, "the request to empty its worker is gone");
-        } else if (r != null && r.empty() && r.errand().equals(e.errand.toString())) {
-            e.phase = Phase.ORDERING;
-            stepOrdering(e);
-        } else if (e.errand.kind() == Errand.Kind.MOVE && state.now() - e.begunAt > MOVE_PATIENCE_MILLIS) {
-            state.end(e, "emptying takes too long for a move");
+        EvacuationRecord r = state.evacuations.get(ongoing.worker);
+        if (r == null && state.now() - ongoing.begunAt > EVACUATION_REQUEST_TIMEOUT_MILLIS) {
+            state.endOperation(ongoing, "the request to empty its worker is gone");
+        } else if (r != null && r.empty() && r.errand().equals(ongoing.operation.toString())) {
+            ongoing.phase = Phase.ORDERING;
+            advanceOrder(ongoing);
+        } else if (ongoing.operation.kind() == InstanceOperation.Kind.MOVE
+                && state.now() - ongoing.begunAt > MOVE_EVACUATION_TIMEOUT_MILLIS) {
+            state.endOperation(ongoing, "emptying takes too long for a move");
         }
     }
 
-    private void stepOrdering(InstanceErrand e) {
-        PlatformInstance i = state.instances.get(e.instance);
+    private void advanceOrder(OngoingOperation ongoing) {
+        PlatformInstance i = state.instances.get(ongoing.instance);
         // The headroom pool's workers run nothing and are not asked; elsewhere one may have come since.
-        boolean asked = !e.worker.isEmpty() || (i != null && !state.isHeadroom(i.pool()));
-        boolean otherLife = i != null
-                && asked
+        boolean evacuationRequired = !ongoing.worker.isEmpty() || (i != null && !state.isHeadroom(i.pool()));
+        boolean otherWorker = i != null
+                && evacuationRequired
                 && i.state() == PlatformInstance.State.UP
-                && !i.worker().equals(e.worker);
-        if (otherLife && !e.orderInFlight) {
+                && !i.worker().equals(ongoing.worker);
+        if (otherWorker && !ongoing.orderInFlight) {
             // Whoever lives there now has not been emptied.
-            state.end(e, "another worker lives on the instance");
+            state.endOperation(ongoing, "another worker lives on the instance");
             return;
         }
-        if (asked && !e.orderInFlight && i != null && i.state() == PlatformInstance.State.DOWN) {
+        if (evacuationRequired && !ongoing.orderInFlight && i != null && i.state() == PlatformInstance.State.DOWN) {
             // Sent on until it is taken, the order would take the life that comes next and has not been emptied.
-            state.end(e, "the instance went down after it was emptied");
+            state.endOperation(ongoing, "the instance went down after it was emptied");
             return;
         }
         boolean unknown = i != null && i.state() == PlatformInstance.State.UNKNOWN;
-        if (!unknown && state.mayOrder(e.instance) && !e.orderInFlight && state.now() >= e.orderDueAt) {
-            e.orderInFlight = true;
-            state.port.order(e.instance, e.errand);
+        if (!unknown
+                && state.mayOrder(ongoing.instance)
+                && !ongoing.orderInFlight
+                && state.now() >= ongoing.orderDueAt) {
+            ongoing.orderInFlight = true;
+            state.port.order(ongoing.instance, ongoing.operation);
         }
     }
 
-    private void stepAwaiting(InstanceErrand e) {
-        PlatformInstance i = state.instances.get(e.instance);
+    private void advanceCompletion(OngoingOperation ongoing) {
+        PlatformInstance i = state.instances.get(ongoing.instance);
         if (i == null) {
-            state.end(e, "the instance is gone from the list");
+            state.endOperation(ongoing, "the instance is gone from the list");
             return;
         }
-        long waited = state.now() - e.takenAt;
+        long waitedMillis = state.now() - ongoing.acceptedAt;
         boolean up = i.state() == PlatformInstance.State.UP;
         boolean arrived =
-                switch (e.errand.kind()) {
-                    case MOVE -> up && i.pool().equals(e.errand.target());
-                    case UPKEEP -> up && waited >= upkeepEnds(e, i);
+                switch (ongoing.operation.kind()) {
+                    case MOVE -> up && i.pool().equals(ongoing.operation.target());
+                    case UPKEEP -> up && waitedMillis >= minUpkeepMillis(ongoing, i);
                 };
         if (arrived) {
-            state.end(e, "done");
+            state.endOperation(ongoing, "done");
         }
     }
 
     /** A new worker shows that the instance is back, but only after the time that the upkeep takes. */
-    private long upkeepEnds(InstanceErrand e, PlatformInstance i) {
-        boolean newLife = !e.worker.isEmpty() && !i.worker().equals(e.worker);
-        return state.timing.upkeepMillis() + (newLife ? 0 : LIST_LAG_MILLIS);
+    private long minUpkeepMillis(OngoingOperation ongoing, PlatformInstance i) {
+        boolean newWorker = !ongoing.worker.isEmpty() && !i.worker().equals(ongoing.worker);
+        return state.timing.upkeepMillis() + (newWorker ? 0 : MAX_LIST_LAG_MILLIS);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
@@ -22,23 +22,23 @@
 public interface FleetPort {
 
     /** Asks the owner of a service to empty a worker. */
-    void askEvacuation(String service, EvacuationRecord record);
+    void requestEvacuation(String service, EvacuationRecord record);
 
     /** Takes that back, or ends it: the worker is gone, or may get tasks again. */
     void endEvacuation(String service, String worker);
 
-    /** Orders an errand of an instance; the outcome goes to {@link FleetPlanner#onOrdered}. */
-    void order(String instance, Errand errand);
+    /** Orders an errand of an instance; the outcome goes to {@link FleetPlanner#onOrderOutcome}. */
+    void order(String instance, InstanceOperation errand);
 
     /** Writes how far a wave is. */
     void writeUpkeep(long wave, UpkeepRecord record);
 
     /** Tells the operators that a wave has begun. */
-    void tellWaveRunning(long wave);
+    void reportWaveRunning(long wave);
 
     /** Writes that a wave is done and tells the operators, in one. */
-    void tellWaveCompleted(long wave, UpkeepRecord record);
+    void reportWaveCompleted(long wave, UpkeepRecord record);
 
     /** Tells a decision, for the log. */
-    void note(String kind, String instance, String detail);
+    void logDecision(String kind, String instance, String detail);
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetTiming.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetTiming.java
@@ -21,19 +21,19 @@
  * @param upkeepMillis how long the platform takes for the upkeep of an instance
  * @param takeOverMillis how long a new owner leaves instances alone that its predecessor has ordered lately
  * @param shrinkAfterMillis a pool must have been too large for so long before instances leave it
- * @param fewest the fewest workers that a pool keeps
+ * @param minWorkers the fewest workers that a pool keeps
  * @param reserve workers that a pool keeps beyond what its work needs: the buffer for losses and bursts
  */
-public record FleetTiming(long upkeepMillis, long takeOverMillis, long shrinkAfterMillis, int fewest, int reserve) {
+public record FleetTiming(long upkeepMillis, long takeOverMillis, long shrinkAfterMillis, int minWorkers, int reserve) {
 
     // A move costs as much as an instance for one second, and there are two until it is back.
     private static final long SHRINK_AFTER_MILLIS = 1_500;
     // The loss of one leaves work somewhere to go.
-    private static final int FEWEST = 2;
+    private static final int MIN_WORKERS = 2;
     private static final int RESERVE = 1;
 
     /** Returns the usual times. */
-    public static FleetTiming usual(long upkeepMillis, long takeOverMillis) {
-        return new FleetTiming(upkeepMillis, takeOverMillis, SHRINK_AFTER_MILLIS, FEWEST, RESERVE);
+    public static FleetTiming defaults(long upkeepMillis, long takeOverMillis) {
+        return new FleetTiming(upkeepMillis, takeOverMillis, SHRINK_AFTER_MILLIS, MIN_WORKERS, RESERVE);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/InstanceList.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/InstanceList.java
@@ -23,13 +23,13 @@
  * The platform's list of its instances.
  *
  * @param instances those that are named
- * @param unreadable what is wrong with rows that can not be read, by instance; {@link #NAMELESS} stands for all of which
+ * @param unreadable what is wrong with rows that can not be read, by instance; {@link #UNKNOWN_ID} stands for all of which
  *     not even that is known
  */
 public record InstanceList(List<PlatformInstance> instances, Map<String, Unreadable> unreadable) {
 
     /** Stands for an instance whose id can not be read. */
-    public static final String NAMELESS = "";
+    public static final String UNKNOWN_ID = "";
 
     /** Returns a list all of whose rows can be read. */
     public static InstanceList of(List<PlatformInstance> all) {
@@ -37,8 +37,8 @@
     }
 
     /** Returns whether these are all: only then an instance that is not named does not exist. */
-    public boolean isWhole() {
-        return !unreadable.containsKey(NAMELESS);
+    public boolean isComplete() {
+        return !unreadable.containsKey(UNKNOWN_ID);
     }
 
     /** Returns whether it tells the worker of each instance: only then a worker that is not named is gone. */
--- a/core/src/main/java/org/lupinpaddle/core/fleet/Errand.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/InstanceOperation.java
@@ -24,7 +24,7 @@
  * @param kind upkeep or a move
  * @param target the wave's number for upkeep, the pool for a move
  */
-public record Errand(Kind kind, String target) {
+public record InstanceOperation(Kind kind, String target) {
 
     private static final char SEPARATOR = ':';
     private static final Pattern WAVE = Pattern.compile("[0-9]{1,18}");
@@ -38,13 +38,13 @@
     }
 
     /** Returns the upkeep of a wave. */
-    public static Errand upkeep(long wave) {
-        return new Errand(Kind.UPKEEP, Long.toString(wave));
+    public static InstanceOperation upkeep(long wave) {
+        return new InstanceOperation(Kind.UPKEEP, Long.toString(wave));
     }
 
     /** Returns a move to a pool. */
-    public static Errand move(String pool) {
-        return new Errand(Kind.MOVE, pool);
+    public static InstanceOperation move(String pool) {
+        return new InstanceOperation(Kind.MOVE, pool);
     }
 
     /** Returns whether this is the upkeep of the wave. */
@@ -53,21 +53,22 @@
     }
 
     /** Returns the errand in a text written by {@link #toString}, or nothing. */
-    public static Optional<Errand> parse(String text) {
-        int at = text.indexOf(SEPARATOR);
-        if (at < 0) {
+    public static Optional<InstanceOperation> parse(String text) {
+        int separator = text.indexOf(SEPARATOR);
+        if (separator < 0) {
             return Optional.empty();
         }
-        for (Kind k : Kind.values()) {
-            if (k.name().equals(text.substring(0, at))) {
-                return Optional.of(new Errand(k, text.substring(at + 1))).filter(Errand::isSound);
+        for (Kind candidate : Kind.values()) {
+            if (candidate.name().equals(text.substring(0, separator))) {
+                return Optional.of(new InstanceOperation(candidate, text.substring(separator + 1)))
+                        .filter(InstanceOperation::hasValidTarget);
             }
         }
         return Optional.empty();
     }
 
     /** Returns whether the target is one of its kind: a wave's number, or the name of a pool. */
-    private boolean isSound() {
+    private boolean hasValidTarget() {
         return kind == Kind.UPKEEP ? WAVE.matcher(target).matches() : !target.isBlank();
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/fleet/InstanceErrand.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/OngoingOperation.java
@@ -16,39 +16,40 @@
 package org.lupinpaddle.core.fleet;
 
 /** One instance that is being taken out of its pool, from the wish until it is back. */
-final class InstanceErrand {
+final class OngoingOperation {
 
     /** How far an errand is. */
     enum Phase {
         /** The worker's tasks are leaving. */
-        EMPTYING,
+        EVACUATING,
         /** The order is to be given, or its answer is awaited. */
         ORDERING,
         /** The platform is at it. */
-        AWAITING
+        AWAITING_COMPLETION
     }
 
     final String instance;
-    final Errand errand;
+    final InstanceOperation operation;
     final String service;
     final String worker;
     final long begunAt;
     Phase phase;
     boolean orderInFlight;
     long orderDueAt;
-    long takenAt;
+    long acceptedAt;
 
-    InstanceErrand(String instance, Errand errand, String service, String worker, long now) {
+    OngoingOperation(String instance, InstanceOperation operation, String service, String worker, long now) {
         this.instance = instance;
-        this.errand = errand;
+        this.operation = operation;
         this.service = service;
         this.worker = worker;
         this.begunAt = now;
-        this.phase = worker.isEmpty() ? Phase.ORDERING : Phase.EMPTYING;
+        this.phase = worker.isEmpty() ? Phase.ORDERING : Phase.EVACUATING;
         this.orderDueAt = now;
     }
 
     boolean isMoveTo(String pool) {
-        return errand.kind() == Errand.Kind.MOVE && errand.target().equals(pool);
+        return operation.kind() == InstanceOperation.Kind.MOVE
+                && operation.target().equals(pool);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/RecentOrders.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/RecentOrders.java
@@ -28,11 +28,11 @@
 public record RecentOrders(Map<String, String> lifeByInstance, Map<String, Long> waitMillisByInstance) {
 
     /**
-     * Returns for how long from the record's writing on a successor leaves the instance alone; {@code most} where the
+     * Returns for how long from the record's writing on a successor leaves the instance alone; {@code maxMillis} where the
      * writer has not told, and never more.
      */
-    public long waitMillis(String instance, long most) {
-        Long told = waitMillisByInstance.get(instance);
-        return told == null ? most : Math.max(0, Math.min(most, told));
+    public long waitMillis(String instance, long maxMillis) {
+        Long recordedMillis = waitMillisByInstance.get(instance);
+        return recordedMillis == null ? maxMillis : Math.max(0, Math.min(maxMillis, recordedMillis));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/RecentHigh.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/SlidingMaximum.java
@@ -19,24 +19,24 @@
 import java.util.Deque;
 
 /** The highest of a pool's shares over the last moments: what a pool has needed just now it does not give away. */
-final class RecentHigh {
+final class SlidingMaximum {
 
     // Jobs come one by one and end in groups: for some hundreds of milliseconds a share says little.
     private static final long WINDOW_MILLIS = 800;
 
-    private final Deque<Told> told = new ArrayDeque<>();
+    private final Deque<Sample> samples = new ArrayDeque<>();
 
-    private record Told(long at, int share) {}
+    private record Sample(long at, int share) {}
 
     /** Takes in the share of now and returns the highest of the window. */
-    int with(long now, int share) {
-        while (!told.isEmpty() && now - told.getFirst().at() > WINDOW_MILLIS) {
-            told.removeFirst();
+    int update(long now, int share) {
+        while (!samples.isEmpty() && now - samples.getFirst().at() > WINDOW_MILLIS) {
+            samples.removeFirst();
         }
-        while (!told.isEmpty() && told.getLast().share() <= share) {
-            told.removeLast();
+        while (!samples.isEmpty() && samples.getLast().share() <= share) {
+            samples.removeLast();
         }
-        told.addLast(new Told(now, share));
-        return told.getFirst().share();
+        samples.addLast(new Sample(now, share));
+        return samples.getFirst().share();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/WavePass.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/UpkeepScheduler.java
@@ -28,87 +28,88 @@
  * Drives waves of upkeep: never more of a wave out at one time than its operators allow, instances that run
  * nothing first, and from a pool that works no more at one time than its work can do without.
  */
-final class WavePass {
+final class UpkeepScheduler {
 
     // By this share of its time all of a wave is to have begun: what is left is for emptying the last workers, which
     // takes as long as their tasks, and for their upkeep.
-    private static final double PATIENT_SHARE = 0.7;
+    private static final double START_DEADLINE_FRACTION = 0.7;
 
     /** How a wave stands by its time, and what its pools have to bear for it. */
     private enum Pace {
         /** Only instances leave that their pool's work can do without. */
-        IN_TIME,
+        ON_SCHEDULE,
         /** Too few have begun for the time that has passed: a pool that works gives one at a time. */
-        BEHIND,
+        BEHIND_SCHEDULE,
         /** As many leave as may be down at one time, whatever their pools have to do. */
-        OUT_OF_TIME
+        OVERDUE
     }
 
     private final FleetState state;
-    private final Set<Long> told = new HashSet<>();
+    private final Set<Long> announced = new HashSet<>();
 
-    WavePass(FleetState state) {
+    UpkeepScheduler(FleetState state) {
         this.state = state;
     }
 
     void run() {
         for (UpkeepWave w : state.waves.values()) {
             if (!state.completed.contains(w.number())) {
-                drive(w);
+                advance(w);
             }
         }
     }
 
-    private void drive(UpkeepWave w) {
-        if (told.add(w.number())) {
-            tellBegun(w);
+    private void advance(UpkeepWave w) {
+        if (announced.add(w.number())) {
+            announce(w);
         }
-        long out = out(w);
+        long down = countDown(w);
         Pace pace = pace(w);
         for (PlatformInstance i : candidates(w)) {
-            if (out >= w.most()) {
+            if (down >= w.most()) {
                 break;
             }
-            if (mayLeave(i, pace)) {
-                state.begin(i, Errand.upkeep(w.number()), false);
-                out++;
+            if (mayTakeOut(i, pace)) {
+                state.startOperation(i, InstanceOperation.upkeep(w.number()), false);
+                down++;
             }
         }
-        if (out == 0 && isDone(w)) {
+        if (down == 0 && isDone(w)) {
             complete(w);
         }
     }
 
-    private void tellBegun(UpkeepWave w) {
-        state.port.tellWaveRunning(w.number());
-        if (!state.waveSeen.containsKey(w.number())) {
-            long seen = state.seenMillis(w.number());
-            state.port.writeUpkeep(w.number(), new UpkeepRecord(List.copyOf(state.begun(w.number())), false, seen));
+    private void announce(UpkeepWave w) {
+        state.port.reportWaveRunning(w.number());
+        if (!state.waveFirstSeenMillis.containsKey(w.number())) {
+            long seen = state.firstSeenMillis(w.number());
+            state.port.writeUpkeep(
+                    w.number(), new UpkeepRecord(List.copyOf(state.begunInstances(w.number())), false, seen));
         }
     }
 
     /** Returns how many instances of the wave are down, or on their way, by this owner's orders or an earlier one's. */
-    private long out(UpkeepWave w) {
-        long ours = state.errands.values().stream()
-                .filter(e -> e.errand.isUpkeepOf(w.number()))
+    private long countDown(UpkeepWave w) {
+        long ownDown = state.ongoingOperations.values().stream()
+                .filter(e -> e.operation.isUpkeepOf(w.number()))
                 .count();
-        long others = w.instances().stream()
+        long predecessorDown = w.instances().stream()
                 .map(state.instances::get)
-                .filter(i -> i != null && state.mayBeDownByOthers(i))
+                .filter(i -> i != null && state.mayBeDownByPredecessor(i))
                 .count();
-        return ours + others;
+        return ownDown + predecessorDown;
     }
 
     private List<PlatformInstance> candidates(UpkeepWave w) {
         List<PlatformInstance> all = new ArrayList<>();
         for (String id : w.instances()) {
             PlatformInstance i = state.instances.get(id);
-            boolean free = i != null
+            boolean selectable = i != null
                     && i.state() == PlatformInstance.State.UP
-                    && !state.errands.containsKey(id)
-                    && !state.mayBeDownByOthers(i)
-                    && !state.begun(w.number()).contains(id);
-            if (free) {
+                    && !state.ongoingOperations.containsKey(id)
+                    && !state.mayBeDownByPredecessor(i)
+                    && !state.begunInstances(w.number()).contains(id);
+            if (selectable) {
                 all.add(i);
             }
         }
@@ -117,45 +118,47 @@
         return all;
     }
 
-    private boolean mayLeave(PlatformInstance i, Pace pace) {
-        if (state.isHeadroom(i.pool()) || pace == Pace.OUT_OF_TIME) {
+    private boolean mayTakeOut(PlatformInstance i, Pace pace) {
+        if (state.isHeadroom(i.pool()) || pace == Pace.OVERDUE) {
             return true;
         }
         ServiceReport r = state.reports.get(i.pool());
         if (r == null) {
             return false;
         }
-        long out = state.errands.values().stream()
+        long down = state.ongoingOperations.values().stream()
                 .filter(e -> e.service.equals(i.pool()))
                 .count();
-        int spare = state.staying(i.pool()).size() - r.needed();
-        return spare > 0 || (pace == Pace.BEHIND && out == 0);
+        int spare = state.remainingInstances(i.pool()).size() - r.needed();
+        return spare > 0 || (pace == Pace.BEHIND_SCHEDULE && down == 0);
     }
 
     private Pace pace(UpkeepWave w) {
         if (w.durationMillis() <= 0) {
-            return Pace.BEHIND;
+            return Pace.BEHIND_SCHEDULE;
         }
-        double patient = PATIENT_SHARE * w.durationMillis();
-        long passed = state.wall.millis() - state.seenMillis(w.number());
-        if (passed >= patient) {
-            return Pace.OUT_OF_TIME;
+        double startDeadlineMillis = START_DEADLINE_FRACTION * w.durationMillis();
+        long elapsedMillis = state.wallClock.millis() - state.firstSeenMillis(w.number());
+        if (elapsedMillis >= startDeadlineMillis) {
+            return Pace.OVERDUE;
         }
-        double due = w.instances().size() * passed / patient;
-        return state.begun(w.number()).size() < due ? Pace.BEHIND : Pace.IN_TIME;
+        double expectedBegun = w.instances().size() * elapsedMillis / startDeadlineMillis;
+        return state.begunInstances(w.number()).size() < expectedBegun ? Pace.BEHIND_SCHEDULE : Pace.ON_SCHEDULE;
     }
 
     private boolean isDone(UpkeepWave w) {
-        return state.listIsWhole
+        return state.listComplete
                 && !state.instances.isEmpty()
                 && w.instances().stream()
-                        .allMatch(i -> state.begun(w.number()).contains(i) || !state.instances.containsKey(i));
+                        .allMatch(i -> state.begunInstances(w.number()).contains(i) || !state.instances.containsKey(i));
     }
 
     private void complete(UpkeepWave w) {
         state.completed.add(w.number());
-        state.port.note("wave-completed", "", "wave=" + w.number());
-        state.port.tellWaveCompleted(
-                w.number(), new UpkeepRecord(List.copyOf(state.begun(w.number())), true, state.seenMillis(w.number())));
+        state.port.logDecision("wave-completed", "", "wave=" + w.number());
+        state.port.reportWaveCompleted(
+                w.number(),
+                new UpkeepRecord(
+                        List.copyOf(state.begunInstances(w.number())), true, state.firstSeenMillis(w.number())));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
@@ -25,7 +25,7 @@
  *
  * @param worker the life of a worker that is to be emptied
  * @param instance the instance it runs on
- * @param errand what it is to be emptied for, see {@link org.lupinpaddle.core.fleet.Errand}
+ * @param errand what it is to be emptied for, see {@link org.lupinpaddle.core.fleet.InstanceOperation}
  * @param urgent whether another pool's jobs wait for the instance
  * @param empty whether it carries nothing and will not be given anything
  */
--- a/core/src/test/java/org/lupinpaddle/core/fleet/EvacuationAnswerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/EvacuationAnswerTest.java
@@ -38,39 +38,39 @@
     }
 
     @Test
-    void isNotGoneByForTheNextErrand() {
-        planner.onEarlierOrders(Map.of());
+    void isIgnoredForTheNextOperation() {
+        planner.onPredecessorOrders(Map.of());
         planner.onServices(List.of(new ServiceConfig("clips", false, true)));
         planner.onInstances(InstanceList.of(List.of(up("m1", "w1"), up("m2", "w2"), up("m3", "w3"))));
         planner.onReport("clips", new ServiceReport(Map.of(), 1, 1, 0, List.of()));
         planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
         planner.tick();
-        Errand first = Errand.upkeep(1);
+        InstanceOperation first = InstanceOperation.upkeep(1);
         planner.onEvacuations(Map.of(new EvacuationRecord("w2", "m2", first.toString(), false, true), "clips"));
         planner.tick();
         assertEquals(List.of("m2 UPKEEP:1"), port.orders);
-        planner.onOrdered("m2", first, InstanceOrderOutcome.NOT_OF_WAVE);
-        assertEquals(List.of("w2"), port.released, "its service may give the worker tasks from now on");
+        planner.onOrderOutcome("m2", first, InstanceOrderOutcome.NOT_OF_WAVE);
+        assertEquals(List.of("w2"), port.releasedWorkers, "its service may give the worker tasks from now on");
         planner.onWaves(List.of(new UpkeepWave(2, List.of("m2"), 20_000, 1)));
         for (int i = 0; i < 3; i++) {
             now += 100;
             planner.tick();
         }
-        assertEquals(2, port.asked.size());
+        assertEquals(2, port.evacuationRequests.size());
         assertEquals(List.of("m2 UPKEEP:1"), port.orders, "the watch still shows the answer to the first request");
     }
 
     /** The platform's list lags: a worker that has come since was never asked, and may have tasks by now. */
     @Test
-    void isNotSparedForAWorkerThatHasComeSinceTheInstanceWasListedWithoutOne() {
-        planner.onEarlierOrders(Map.of());
+    void isRequiredForAWorkerThatAppearedAfterTheInstanceWasListedEmpty() {
+        planner.onPredecessorOrders(Map.of());
         planner.onServices(List.of(new ServiceConfig("clips", false, true)));
         planner.onInstances(InstanceList.of(List.of(up("m1", "w1"), up("m2", ""), up("m3", "w3"))));
         planner.onReport("clips", new ServiceReport(Map.of(), 1, 1, 0, List.of()));
         planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
         planner.tick();
         assertEquals(List.of("m2 UPKEEP:1"), port.orders);
-        planner.onOrdered("m2", Errand.upkeep(1), InstanceOrderOutcome.REFUSED);
+        planner.onOrderOutcome("m2", InstanceOperation.upkeep(1), InstanceOrderOutcome.REFUSED);
         planner.onInstances(InstanceList.of(List.of(up("m1", "w1"), up("m2", "w9"), up("m3", "w3"))));
         for (int i = 0; i < 10; i++) {
             now += 100;
--- a/core/src/test/java/org/lupinpaddle/core/fleet/FakeFleetPort.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/FakeFleetPort.java
@@ -23,40 +23,40 @@
 /** Keeps what a planner asks for. */
 final class FakeFleetPort implements FleetPort {
 
-    final List<EvacuationRecord> asked = new ArrayList<>();
-    final List<String> released = new ArrayList<>();
+    final List<EvacuationRecord> evacuationRequests = new ArrayList<>();
+    final List<String> releasedWorkers = new ArrayList<>();
     final List<String> orders = new ArrayList<>();
-    final List<UpkeepRecord> upkeep = new ArrayList<>();
-    final List<Long> completed = new ArrayList<>();
+    final List<UpkeepRecord> upkeepRecords = new ArrayList<>();
+    final List<Long> completedWaves = new ArrayList<>();
 
     @Override
-    public void askEvacuation(String service, EvacuationRecord record) {
-        asked.add(record);
+    public void requestEvacuation(String service, EvacuationRecord record) {
+        evacuationRequests.add(record);
     }
 
     @Override
     public void endEvacuation(String service, String worker) {
-        released.add(worker);
+        releasedWorkers.add(worker);
     }
 
     @Override
-    public void order(String instance, Errand errand) {
-        orders.add(instance + " " + errand);
+    public void order(String instance, InstanceOperation operation) {
+        orders.add(instance + " " + operation);
     }
 
     @Override
     public void writeUpkeep(long wave, UpkeepRecord record) {
-        upkeep.add(record);
+        upkeepRecords.add(record);
     }
 
     @Override
-    public void tellWaveRunning(long wave) {}
+    public void reportWaveRunning(long wave) {}
 
     @Override
-    public void tellWaveCompleted(long wave, UpkeepRecord record) {
-        completed.add(wave);
+    public void reportWaveCompleted(long wave, UpkeepRecord record) {
+        completedWaves.add(wave);
     }
 
     @Override
-    public void note(String kind, String instance, String detail) {}
+    public void logDecision(String kind, String instance, String detail) {}
 }
--- a/core/src/test/java/org/lupinpaddle/core/fleet/FleetPlannerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/FleetPlannerTest.java
@@ -42,23 +42,23 @@
     private final FakeFleetPort port = new FakeFleetPort();
     private long now;
     private final FleetPlanner planner =
-            new FleetPlanner(new FleetTiming(UPKEEP_MILLIS, 0, 1_000, 2, 1), port, () -> now, this::wall);
+            new FleetPlanner(new FleetTiming(UPKEEP_MILLIS, 0, 1_000, 2, 1), port, () -> now, this::wallMillis);
 
     /** The time of day goes on over a change of owner. */
-    private long wall() {
+    private long wallMillis() {
         return 1_700_000_000_000L + now;
     }
 
     private FleetPlanner successor() {
-        return new FleetPlanner(new FleetTiming(UPKEEP_MILLIS, 4_000, 1_000, 2, 1), port, () -> now, this::wall);
+        return new FleetPlanner(new FleetTiming(UPKEEP_MILLIS, 4_000, 1_000, 2, 1), port, () -> now, this::wallMillis);
     }
 
     private static PlatformInstance up(String id, String pool, String worker) {
         return new PlatformInstance(id, pool, PlatformInstance.State.UP, "north", worker);
     }
 
-    private void fleet(int needed, PlatformInstance... all) {
-        planner.onEarlierOrders(Map.of());
+    private void givenFleet(int needed, PlatformInstance... all) {
+        planner.onPredecessorOrders(Map.of());
         planner.onServices(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         planner.onInstances(InstanceList.of(List.of(all)));
         List<WorkerLoad> loads = new ArrayList<>();
@@ -68,12 +68,12 @@
         planner.onReport("clips", new ServiceReport(Map.of(), needed, needed, 0, loads));
     }
 
-    private void passes(long millis) {
+    private void advanceClock(long millis) {
         now += millis;
         planner.tick();
     }
 
-    private void emptied(String worker, String instance, Errand e) {
+    private void completeEvacuation(String worker, String instance, InstanceOperation e) {
         planner.onEvacuations(Map.of(new EvacuationRecord(worker, instance, e.toString(), false, true), "clips"));
         planner.tick();
     }
@@ -81,15 +81,15 @@
     @Nested
     class Upkeep {
 
-        private final Errand errand = Errand.upkeep(1);
+        private final InstanceOperation operation = InstanceOperation.upkeep(1);
 
         @Test
         void isOrderedOnlyWhenTheWorkerIsEmpty() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
-            passes(0);
+            advanceClock(0);
             assertTrue(port.orders.isEmpty());
-            emptied("w2", "m2", errand);
+            completeEvacuation("w2", "m2", operation);
             assertEquals(List.of("m2 UPKEEP:1"), port.orders);
         }
 
@@ -98,101 +98,101 @@
          * emptied, and the order for it was sent again until it was back.
          */
         @Test
-        void isNotOrderedForTheNextLifeOnAnInstanceThatWentDown() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+        void isNotOrderedForAWorkerThatStartedAfterTheInstanceWentDown() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
-            passes(0);
-            emptied("w2", "m2", errand);
-            planner.onOrdered("m2", errand, InstanceOrderOutcome.BUSY);
+            advanceClock(0);
+            completeEvacuation("w2", "m2", operation);
+            planner.onOrderOutcome("m2", operation, InstanceOrderOutcome.BUSY);
             PlatformInstance down = new PlatformInstance("m2", "clips", PlatformInstance.State.DOWN, "north", "");
             planner.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), down)));
-            passes(1_000);
-            passes(1_000);
+            advanceClock(1_000);
+            advanceClock(1_000);
             assertEquals(List.of("m2 UPKEEP:1"), port.orders, "whoever comes back has not been emptied");
         }
 
         @Test
-        void keepsItsPlaceUntilItIsOver() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+        void countsAsDownUntilTheUpkeepTimeHasPassed() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m1", "m2"), 20_000, 1)));
-            passes(0);
-            emptied("w2", "m2", errand);
-            planner.onOrdered("m2", errand, InstanceOrderOutcome.TAKEN);
+            advanceClock(0);
+            completeEvacuation("w2", "m2", operation);
+            planner.onOrderOutcome("m2", operation, InstanceOrderOutcome.TAKEN);
             planner.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), up("m2", "clips", "w3"))));
-            passes(UPKEEP_MILLIS - 1);
-            assertEquals(1, port.asked.size(), "the list may show a life from before the upkeep");
-            passes(2);
-            assertEquals(2, port.asked.size());
+            advanceClock(UPKEEP_MILLIS - 1);
+            assertEquals(1, port.evacuationRequests.size(), "the list may show a life from before the upkeep");
+            advanceClock(2);
+            assertEquals(2, port.evacuationRequests.size());
         }
 
         @Test
-        void goesToWhatRunsNothingFirst() {
-            fleet(3, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "spare", ""));
+        void startsWithInstancesThatRunNothing() {
+            givenFleet(3, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "spare", ""));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m1", "m2", "m3"), 20_000, 1)));
-            passes(0);
+            advanceClock(0);
             assertEquals(List.of("m3 UPKEEP:1"), port.orders);
         }
 
         @Test
-        void waitsWhileItsPoolHasWorkForAllAndTheWaveHasTime() {
-            fleet(2, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+        void waitsWhileThePoolNeedsAllInstancesAndTheWaveIsOnSchedule() {
+            givenFleet(2, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
-            passes(0);
-            assertTrue(port.asked.isEmpty(), "both are needed");
-            passes(15_000);
-            assertEquals(1, port.asked.size(), "the wave must end in time, however busy its pools are");
+            advanceClock(0);
+            assertTrue(port.evacuationRequests.isEmpty(), "both are needed");
+            advanceClock(15_000);
+            assertEquals(1, port.evacuationRequests.size(), "the wave must end in time, however busy its pools are");
         }
 
         @Test
-        void ofTheLastOnesGoesOnAtOnceWhenTheWaveRunsOutOfTime() {
-            fleet(
+        void usesTheFullConcurrencyLimitWhenTheWaveIsOverdue() {
+            givenFleet(
                     4,
                     up("m1", "clips", "w1"),
                     up("m2", "clips", "w2"),
                     up("m3", "clips", "w3"),
                     up("m4", "clips", "w4"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2", "m3", "m4"), 20_000, 2)));
-            passes(0);
-            passes(10_000);
-            assertEquals(1, port.asked.size(), "behind, one at a time leaves a pool that works");
-            passes(4_500);
-            assertEquals(2, port.asked.size(), "and as many as are allowed once time runs out");
+            advanceClock(0);
+            advanceClock(10_000);
+            assertEquals(1, port.evacuationRequests.size(), "behind, one at a time leaves a pool that works");
+            advanceClock(4_500);
+            assertEquals(2, port.evacuationRequests.size(), "and as many as are allowed once time runs out");
         }
 
         @Test
-        void tellsSuccessorsSinceWhenTheWaveIsAskedFor() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+        void recordsWhenTheWaveWasFirstSeen() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
-            passes(0);
-            long first = wall();
-            emptied("w2", "m2", errand);
-            passes(300);
-            planner.onOrdered("m2", errand, InstanceOrderOutcome.TAKEN);
+            advanceClock(0);
+            long first = wallMillis();
+            completeEvacuation("w2", "m2", operation);
+            advanceClock(300);
+            planner.onOrderOutcome("m2", operation, InstanceOrderOutcome.TAKEN);
             assertEquals(
                     List.of(new UpkeepRecord(List.of(), false, first), new UpkeepRecord(List.of("m2"), false, first)),
-                    port.upkeep);
+                    port.upkeepRecords);
         }
 
         @Test
-        void isNotOrderedWhenAnotherWorkerLivesThere() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+        void isNotOrderedWhenAnotherWorkerRunsOnTheInstance() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
-            passes(0);
-            emptied("w2", "m2", errand);
-            planner.onOrdered("m2", errand, InstanceOrderOutcome.BUSY);
+            advanceClock(0);
+            completeEvacuation("w2", "m2", operation);
+            planner.onOrderOutcome("m2", operation, InstanceOrderOutcome.BUSY);
             planner.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), up("m2", "clips", "w9"))));
             int before = port.orders.size();
-            passes(1_000);
+            advanceClock(1_000);
             assertEquals(before, port.orders.size());
         }
 
         @Test
         void ofAllInstancesCompletesTheWave() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
-            planner.onUpkeep(1, new UpkeepRecord(List.of("m1", "m2"), false, wall()));
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+            planner.onUpkeep(1, new UpkeepRecord(List.of("m1", "m2"), false, wallMillis()));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m1", "m2"), 20_000, 1)));
-            passes(0);
-            assertEquals(List.of(1L), port.completed);
+            advanceClock(0);
+            assertEquals(List.of(1L), port.completedWaves);
         }
     }
 
@@ -200,7 +200,7 @@
     class Shares {
 
         private void twoPools(ServiceReport clips, ServiceReport archive, PlatformInstance... all) {
-            planner.onEarlierOrders(Map.of());
+            planner.onPredecessorOrders(Map.of());
             planner.onServices(List.of(
                     new ServiceConfig("clips", false, true),
                     new ServiceConfig("archive", false, true),
@@ -227,33 +227,33 @@
         }
 
         @Test
-        void ofHopelessWorkGoToWorkThatCanStillEndInTime() {
+        void moveFromHopelessWorkToWorkThatCanMeetItsDeadline() {
             twoPools(report(3, 0, 0), report(0, 0, 30), sixOfArchive());
-            passes(0);
-            passes(900);
-            long moved = port.asked.stream()
+            advanceClock(0);
+            advanceClock(900);
+            long moved = port.evacuationRequests.stream()
                     .filter(r -> r.errand().equals("MOVE:clips"))
                     .count();
             assertEquals(4, moved, "three and the reserve; the other pool keeps its least");
         }
 
         @Test
-        void stayWhileTheirPoolHasJustNeededThem() {
+        void areRetainedWhileThePoolNeededThemRecently() {
             List<PlatformInstance> all = new ArrayList<>(List.of(sixOfArchive()));
             all.add(up("m7", "clips", "w7"));
             all.add(up("m8", "clips", "w8"));
             twoPools(report(1, 0, 0), report(5, 0, 0), all.toArray(PlatformInstance[]::new));
-            passes(0);
+            advanceClock(0);
             planner.onReport("clips", report(4, 0, 0));
             planner.onReport("archive", report(0, 0, 9));
-            passes(100);
-            assertTrue(port.asked.isEmpty(), "a need that is gone for a moment may come back");
-            passes(900);
-            assertEquals(3, port.asked.size());
+            advanceClock(100);
+            assertTrue(port.evacuationRequests.isEmpty(), "a need that is gone for a moment may come back");
+            advanceClock(900);
+            assertEquals(3, port.evacuationRequests.size());
         }
 
         @Test
-        void doNotCountWorkersThatNobodyReaches() {
+        void doNotCountUnreachableWorkers() {
             PlatformInstance[] all = {
                 up("m1", "clips", "w1"),
                 up("m2", "clips", "w2"),
@@ -263,12 +263,12 @@
                 up("m6", "archive", "w6")
             };
             twoPools(report(1, 0, 0, load("w1", 1, false), load("w2", 1, false)), report(0, 0, 0), all);
-            passes(0);
+            advanceClock(0);
             assertEquals(Set.of("m3 MOVE:clips", "m4 MOVE:clips"), Set.copyOf(port.orders));
         }
 
         @Test
-        void areNotGivenAwayForThoseThatAreStillOnTheirWay() {
+        void areNotReducedBecauseOfIncomingInstances() {
             List<PlatformInstance> all = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
                 all.add(up("here" + i, "clips", "w" + i));
@@ -277,21 +277,22 @@
             all.add(up("m1", "archive", "a1"));
             all.add(up("m2", "archive", "a2"));
             twoPools(report(5, 0, 0), report(3, 0, 0), all.toArray(PlatformInstance[]::new));
-            passes(0);
-            assertTrue(port.asked.isEmpty(), "four are here and six are needed, whatever comes later");
+            advanceClock(0);
+            assertTrue(port.evacuationRequests.isEmpty(), "four are here and six are needed, whatever comes later");
             all.replaceAll(i -> i.state() == PlatformInstance.State.UP ? i : up(i.id(), "clips", "w-" + i.id()));
             planner.onInstances(InstanceList.of(all));
-            passes(100);
-            assertEquals(2, port.asked.size(), "all are here: two are too many");
+            advanceClock(100);
+            assertEquals(2, port.evacuationRequests.size(), "all are here: two are too many");
         }
 
         @Test
-        void keepWhatHopelessWorkCanUseUntilSomebodyElseWantsIt() {
+        void retainInstancesForHopelessWorkUntilAnotherPoolNeedsThem() {
             twoPools(report(0, 0, 0), report(0, 0, 6), sixOfArchive());
-            passes(0);
-            passes(5_000);
+            advanceClock(0);
+            advanceClock(5_000);
             assertTrue(
-                    port.asked.stream().noneMatch(r -> r.errand().equals("MOVE:spare")), "it is still to be finished");
+                    port.evacuationRequests.stream().noneMatch(r -> r.errand().equals("MOVE:spare")),
+                    "it is still to be finished");
         }
     }
 
@@ -299,14 +300,14 @@
     class TakeOver {
 
         @Test
-        void goesOnWithAnEarlierOwnersErrand() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
-            emptied("w2", "m2", Errand.move("spare"));
+        void resumesAPredecessorsOperation() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+            completeEvacuation("w2", "m2", InstanceOperation.move("spare"));
             assertEquals(List.of("m2 MOVE:spare"), port.orders);
         }
 
         @Test
-        void ordersNothingBeforeItKnowsTheEarlierOwnersOrders() {
+        void ordersNothingBeforePredecessorOrdersAreKnown() {
             now = 10_000;
             FleetPlanner successor = successor();
             successor.onServices(
@@ -316,7 +317,7 @@
             successor.onReport("clips", new ServiceReport(Map.of(), 2, 2, 0, List.of()));
             successor.tick();
             assertTrue(port.orders.isEmpty());
-            successor.onEarlierOrders(Map.of("m2", 14_000L));
+            successor.onPredecessorOrders(Map.of("m2", 14_000L));
             successor.tick();
             assertEquals(List.of("m3 MOVE:clips"), port.orders, "the other instance was ordered lately");
             now += 4_000;
@@ -325,7 +326,7 @@
         }
 
         @Test
-        void emptiesAnInstanceWhileItMayNotBeOrderedYet() {
+        void evacuatesAnInstanceBeforeItMayBeOrdered() {
             now = 10_000;
             FleetPlanner successor = successor();
             successor.onServices(
@@ -334,10 +335,10 @@
                     List.of(up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "clips", "w3"))));
             successor.onReport("clips", new ServiceReport(Map.of(), 0, 0, 0, List.of()));
             successor.onReport("archive", new ServiceReport(Map.of(), 1, 1, 0, List.of()));
-            successor.onEarlierOrders(Map.of("m1", now + 1_000, "m2", now + 1_000, "m3", now + 1_000));
+            successor.onPredecessorOrders(Map.of("m1", now + 1_000, "m2", now + 1_000, "m3", now + 1_000));
             successor.tick();
-            assertFalse(port.asked.isEmpty(), "emptying takes as long as what is left to wait");
-            EvacuationRecord asked = port.asked.get(0);
+            assertFalse(port.evacuationRequests.isEmpty(), "emptying takes as long as what is left to wait");
+            EvacuationRecord asked = port.evacuationRequests.get(0);
             successor.onEvacuations(Map.of(
                     new EvacuationRecord(asked.worker(), asked.instance(), asked.errand(), false, true), "clips"));
             now += 999;
@@ -348,23 +349,23 @@
             assertEquals(List.of(asked.instance() + " MOVE:archive"), port.orders);
         }
 
-        private FleetPlanner ofSpares(Set<String> orderedLately, int most, PlatformInstance... all) {
+        private FleetPlanner successorWithSpareInstances(Set<String> orderedLately, int most, PlatformInstance... all) {
             now = 10_000;
             FleetPlanner s = successor();
             s.onServices(List.of(new ServiceConfig("spare", true, true)));
             s.onInstances(InstanceList.of(List.of(all)));
             Map<String, Long> until = new HashMap<>();
             orderedLately.forEach(i -> until.put(i, now + 4_000));
-            s.onEarlierOrders(until);
+            s.onPredecessorOrders(until);
             List<String> ids = Stream.of(all).map(PlatformInstance::id).toList();
             s.onWaves(List.of(new UpkeepWave(1, ids, 20_000, most)));
             return s;
         }
 
         @Test
-        void countsWhatTheEarlierOwnerHasOrderedLatelyAsDown() {
-            FleetPlanner s =
-                    ofSpares(Set.of("m1"), 2, up("m1", "spare", ""), up("m2", "spare", ""), up("m3", "spare", ""));
+        void countsInstancesRecentlyOrderedByThePredecessorAsDown() {
+            FleetPlanner s = successorWithSpareInstances(
+                    Set.of("m1"), 2, up("m1", "spare", ""), up("m2", "spare", ""), up("m3", "spare", ""));
             s.tick();
             assertEquals(List.of("m2 UPKEEP:1"), port.orders, "m1 may be down, and two are allowed");
             now += 4_000;
@@ -373,9 +374,9 @@
         }
 
         @Test
-        void countsItAlsoWhenTheLifeThatOrderedItIsOver() {
-            FleetPlanner s = ofSpares(Set.of("m1"), 1, up("m1", "spare", ""), up("m2", "spare", ""));
-            s.onEarlierOrders(Map.of());
+        void countsThemAsDownEvenAfterThePredecessorsProcessEnded() {
+            FleetPlanner s = successorWithSpareInstances(Set.of("m1"), 1, up("m1", "spare", ""), up("m2", "spare", ""));
+            s.onPredecessorOrders(Map.of());
             s.tick();
             assertTrue(port.orders.isEmpty(), "its order has been carried out all the same");
             now += 4_000;
@@ -384,9 +385,9 @@
         }
 
         @Test
-        void countsWhatThePlatformListsInUpkeepHoweverLongThatTakes() {
+        void countsInstancesListedInUpkeepAsDownIndefinitely() {
             PlatformInstance down = new PlatformInstance("m1", "spare", PlatformInstance.State.UPKEEP, "north", "");
-            FleetPlanner s = ofSpares(Set.of(), 1, down, up("m2", "spare", ""));
+            FleetPlanner s = successorWithSpareInstances(Set.of(), 1, down, up("m2", "spare", ""));
             s.tick();
             now += 30_000;
             s.tick();
@@ -397,8 +398,9 @@
         }
 
         @Test
-        void countsAnInstanceOfWhichNothingCanBeReadAsAwayAndDoesNotOrderIt() {
-            FleetPlanner s = ofSpares(Set.of(), 1, PlatformInstance.unknown("m1"), up("m2", "spare", ""));
+        void countsUnreadableInstancesAsDownAndDoesNotOrderThem() {
+            FleetPlanner s =
+                    successorWithSpareInstances(Set.of(), 1, PlatformInstance.unknown("m1"), up("m2", "spare", ""));
             s.tick();
             now += 30_000;
             s.tick();
@@ -409,84 +411,85 @@
         }
 
         @Test
-        void completesNoWaveByAListThatMayLackAnInstance() {
+        void completesNoWaveFromAnIncompleteList() {
             InstanceList none = new InstanceList(
-                    List.of(up("m9", "spare", "")), Map.of(InstanceList.NAMELESS, Unreadable.Reason.MISSING.whole()));
-            FleetPlanner s = ofSpares(Set.of(), 2, up("m1", "spare", ""));
+                    List.of(up("m9", "spare", "")), Map.of(InstanceList.UNKNOWN_ID, Unreadable.Reason.MISSING.whole()));
+            FleetPlanner s = successorWithSpareInstances(Set.of(), 2, up("m1", "spare", ""));
             s.onInstances(none);
             s.onWaves(List.of(new UpkeepWave(2, List.of("m1", "m2"), 20_000, 1)));
             s.tick();
             now += 30_000;
             s.tick();
-            assertEquals(List.of(), port.completed);
+            assertEquals(List.of(), port.completedWaves);
             assertEquals(List.of(), port.orders);
         }
 
         @Test
-        void beginsUpkeepAtOnceWhereNothingWasOrderedLately() {
-            FleetPlanner s = ofSpares(Set.of(), 1, up("m1", "spare", ""), up("m2", "spare", ""));
+        void beginsUpkeepAtOnceWithoutRecentOrders() {
+            FleetPlanner s = successorWithSpareInstances(Set.of(), 1, up("m1", "spare", ""), up("m2", "spare", ""));
             s.tick();
             assertEquals(1, port.orders.size(), "a wave's time goes on while owners change");
         }
 
         @Test
-        void keepsToTheTimeOfAWaveThatItsPredecessorHasBegun() {
+        void keepsTheDeadlineOfAWaveThatThePredecessorStarted() {
             now = 16_000;
             FleetPlanner s = successor();
             s.onServices(List.of(new ServiceConfig("clips", false, true)));
             s.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), up("m2", "clips", "w2"))));
             s.onReport("clips", new ServiceReport(Map.of(), 2, 2, 0, List.of()));
-            s.onEarlierOrders(Map.of());
-            s.onUpkeep(1, new UpkeepRecord(List.of(), false, wall()));
+            s.onPredecessorOrders(Map.of());
+            s.onUpkeep(1, new UpkeepRecord(List.of(), false, wallMillis()));
             s.onWaves(List.of(new UpkeepWave(1, List.of("m1", "m2"), 20_000, 2)));
             s.tick();
-            assertTrue(port.asked.isEmpty(), "most of its time is left, and the pool needs both");
+            assertTrue(port.evacuationRequests.isEmpty(), "most of its time is left, and the pool needs both");
             now += 14_000;
             s.tick();
-            assertEquals(2, port.asked.size());
+            assertEquals(2, port.evacuationRequests.size());
         }
 
         @Test
-        void doesNotTakeUpWhatItHasJustEnded() {
-            fleet(2, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
-            emptied("w2", "m2", Errand.upkeep(7));
-            planner.onOrdered("m2", Errand.upkeep(7), InstanceOrderOutcome.NOT_OF_WAVE);
+        void doesNotResumeAnOperationThatItHasJustEnded() {
+            givenFleet(2, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
+            completeEvacuation("w2", "m2", InstanceOperation.upkeep(7));
+            planner.onOrderOutcome("m2", InstanceOperation.upkeep(7), InstanceOrderOutcome.NOT_OF_WAVE);
             int orders = port.orders.size();
-            emptied("w2", "m2", Errand.upkeep(7));
+            completeEvacuation("w2", "m2", InstanceOperation.upkeep(7));
             assertEquals(orders, port.orders.size());
         }
     }
 
     @Nested
-    class Sizes {
+    class PoolSizes {
 
         @Test
         void growFromTheHeadroomPool() {
-            fleet(3, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "spare", ""), up("m4", "spare", ""));
-            passes(0);
+            givenFleet(
+                    3, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "spare", ""), up("m4", "spare", ""));
+            advanceClock(0);
             assertEquals(2, port.orders.size(), "three needed and one in reserve");
         }
 
         @Test
-        void shrinkOnlyAfterAWhile() {
-            fleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "clips", "w3"));
-            passes(0);
-            assertTrue(port.asked.isEmpty());
-            passes(1_100);
-            assertEquals(1, port.asked.size());
-            assertTrue(!port.asked.get(0).worker().equals("w1"), "the busiest leaves last");
+        void shrinkOnlyAfterADelay() {
+            givenFleet(1, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "clips", "w3"));
+            advanceClock(0);
+            assertTrue(port.evacuationRequests.isEmpty());
+            advanceClock(1_100);
+            assertEquals(1, port.evacuationRequests.size());
+            assertTrue(!port.evacuationRequests.get(0).worker().equals("w1"), "the busiest leaves last");
         }
 
         @Test
-        void stayWithoutAReport() {
-            planner.onEarlierOrders(Map.of());
+        void stayUnchangedWithoutAReport() {
+            planner.onPredecessorOrders(Map.of());
             planner.onServices(
                     List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
             planner.onInstances(InstanceList.of(
                     List.of(up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "clips", "w3"))));
-            passes(0);
-            passes(5_000);
-            assertTrue(port.asked.isEmpty());
+            advanceClock(0);
+            advanceClock(5_000);
+            assertTrue(port.evacuationRequests.isEmpty());
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/job/JobKeysProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/job/JobKeysProperties.java
@@ -27,7 +27,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
-import org.lupinpaddle.core.fleet.Errand;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 
 /** Keys that another writer has made up are taken for nothing, and stop nobody. */
 class JobKeysProperties {
@@ -76,9 +76,9 @@
 
     @Property(tries = 300)
     void errandsOfAnyTextAreNoneOrSound(@ForAll("names") String target) {
-        Optional<Errand> upkeep = Errand.parse("UPKEEP:" + target);
+        Optional<InstanceOperation> upkeep = InstanceOperation.parse("UPKEEP:" + target);
         assertDoesNotThrow(() -> upkeep.ifPresent(e -> Long.parseLong(e.target())));
-        assertDoesNotThrow(() -> Errand.parse(target));
+        assertDoesNotThrow(() -> InstanceOperation.parse(target));
     }
 
     @Example
@@ -88,7 +88,7 @@
         assertTrue(JobKeys.isEvacuation(key));
         assertEquals("clips", JobKeys.evacuatedService(key));
         assertEquals("w1", JobKeys.evacuatedWorker(key));
-        assertEquals(Optional.of(Errand.upkeep(7)), Errand.parse("UPKEEP:7"));
-        assertEquals(Optional.of(Errand.move("clips")), Errand.parse("MOVE:clips"));
+        assertEquals(Optional.of(InstanceOperation.upkeep(7)), InstanceOperation.parse("UPKEEP:7"));
+        assertEquals(Optional.of(InstanceOperation.move("clips")), InstanceOperation.parse("MOVE:clips"));
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -30,11 +30,11 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.common.Unreadable;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.FleetPlanner;
 import org.lupinpaddle.core.fleet.FleetPort;
 import org.lupinpaddle.core.fleet.FleetTiming;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.RecentOrders;
 import org.lupinpaddle.core.job.JobKeys;
@@ -81,7 +81,7 @@
 
     private final Entry entry;
     private final long fence;
-    private final Map<String, Errand> toOrder = new LinkedHashMap<>();
+    private final Map<String, InstanceOperation> toOrder = new LinkedHashMap<>();
     private final OrderedInstances ordered;
     private final Set<String> unanswered = new HashSet<>();
     private final OwnedRecords owned;
@@ -169,7 +169,14 @@
 
     private void tell() {
         if (!closed) {
-            Log.info("fleet-load", "fence", fence, "errands", planner.errands(), "writes-waiting", owned.waiting());
+            Log.info(
+                    "fleet-load",
+                    "fence",
+                    fence,
+                    "errands",
+                    planner.operationCount(),
+                    "writes-waiting",
+                    owned.waiting());
             entry.loop.after(TELL_MILLIS, this::tell);
         }
     }
@@ -256,13 +263,13 @@
             return;
         }
         Map<String, Long> until = ordered.leftAloneUntil();
-        planner.onEarlierOrders(until);
+        planner.onPredecessorOrders(until);
         Log.info("fleet-owner-started", "fence", fence, "ordered-lately", until.size());
     }
 
     private void earlierOrdersPast() {
         earlierUnread = false;
-        planner.onEarlierOrders(Map.of());
+        planner.onPredecessorOrders(Map.of());
     }
 
     /** Instances that a life which is over has ordered need not be left alone. */
@@ -272,7 +279,7 @@
         if (over > 0) {
             Log.info("earlier-orders-over", "instances", over, "left", until.size());
         }
-        planner.onEarlierOrders(until);
+        planner.onPredecessorOrders(until);
     }
 
     private void recordsChanged() {
@@ -319,7 +326,7 @@
     }
 
     @Override
-    public void askEvacuation(String service, EvacuationRecord record) {
+    public void requestEvacuation(String service, EvacuationRecord record) {
         write(Map.of(JobKeys.evacuation(service, record.worker()), RecordCodec.write(record)));
     }
 
@@ -334,12 +341,12 @@
     }
 
     @Override
-    public void tellWaveRunning(long wave) {
+    public void reportWaveRunning(long wave) {
         write(Map.of(entry.names.waveStatusKey(wave), entry.names.waveStatus(wave, false)));
     }
 
     @Override
-    public void tellWaveCompleted(long wave, UpkeepRecord record) {
+    public void reportWaveCompleted(long wave, UpkeepRecord record) {
         write(Map.of(
                 JobKeys.upkeep(wave),
                 RecordCodec.write(record),
@@ -355,7 +362,7 @@
 
     /** Orders that are asked for in one pass go out together. */
     @Override
-    public void order(String instance, Errand errand) {
+    public void order(String instance, InstanceOperation errand) {
         toOrder.put(instance, errand);
         entry.loop.execute(this::sendOrders);
     }
@@ -368,7 +375,7 @@
         if (closed || isHandingOver() || writingOrders || toOrder.isEmpty()) {
             return;
         }
-        Map<String, Errand> orders = new LinkedHashMap<>(toOrder);
+        Map<String, InstanceOperation> orders = new LinkedHashMap<>(toOrder);
         toOrder.clear();
         long writtenAt = entry.loop.clock().millis();
         ordered.ordering(orders.keySet(), entry.ownership.life(), writtenAt);
@@ -454,7 +461,7 @@
         });
     }
 
-    private void orderAsOwner(String instance, Errand errand, long writtenAt) {
+    private void orderAsOwner(String instance, InstanceOperation errand, long writtenAt) {
         long now = entry.loop.clock().millis();
         boolean lasts = entry.ownership.leaseEndsAt() - now > InstanceOrders.CALL_MILLIS + SLACK_MILLIS;
         if (closed || isHandingOver() || !lasts || now - writtenAt > FRESH_MILLIS) {
@@ -467,11 +474,11 @@
                 .thenAcceptAsync(o -> ordered(instance, errand, o), entry.loop::execute);
     }
 
-    private void refused(String instance, Errand errand) {
-        entry.loop.execute(() -> planner.onOrdered(instance, errand, InstanceOrderOutcome.REFUSED));
+    private void refused(String instance, InstanceOperation errand) {
+        entry.loop.execute(() -> planner.onOrderOutcome(instance, errand, InstanceOrderOutcome.REFUSED));
     }
 
-    private void ordered(String instance, Errand errand, InstanceOrderOutcome o) {
+    private void ordered(String instance, InstanceOperation errand, InstanceOrderOutcome o) {
         entry.meters.instanceOrdered(o);
         if (o != InstanceOrderOutcome.UNKNOWN) {
             unanswered.remove(instance);
@@ -483,11 +490,11 @@
         if (o == InstanceOrderOutcome.FENCED) {
             entry.ownership.giveUp(JobNode.FLEET, fence, "an order was refused by a fence");
         }
-        planner.onOrdered(instance, errand, o);
+        planner.onOrderOutcome(instance, errand, o);
     }
 
     @Override
-    public void note(String kind, String instance, String detail) {
+    public void logDecision(String kind, String instance, String detail) {
         Log.info("fleet", "kind", kind, "instance", instance, "why", detail);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
@@ -129,7 +129,7 @@
                 loop,
                 ownership,
                 p.wall(),
-                FleetTiming.usual(
+                FleetTiming.defaults(
                         p.limits().upkeepMillis(),
                         FleetHost.Entry.takeOverMillis(p.limits().ownerLeaseMillis())),
                 p.meters(),
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/InstanceOrders.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/InstanceOrders.java
@@ -16,8 +16,8 @@
 package org.lupinpaddle.daemon.port;
 
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 
 /** The platform's list of instances, and orders on them. */
@@ -31,5 +31,5 @@
     CompletableFuture<InstanceList> list();
 
     /** Orders an errand; {@code holder} and {@code fence} name the owner. The future never ends exceptionally. */
-    CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long fence);
+    CompletableFuture<InstanceOrderOutcome> order(String instance, InstanceOperation errand, String holder, long fence);
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             throw new UnsupportedOperationException("not needed here");
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.FleetTiming;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.JobKeys;
@@ -53,7 +53,8 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long f) {
+        public CompletableFuture<InstanceOrderOutcome> order(
+                String instance, InstanceOperation errand, String holder, long f) {
             holders.add(holder);
             orderedAt.add(loop.clock().millis());
             return CompletableFuture.completedFuture(InstanceOrderOutcome.BUSY);
@@ -72,7 +73,7 @@
         OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
         ownership.start();
         passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.usual(2_000, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetTiming timing = FleetTiming.defaults(2_000, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
         FleetHost.Entry entry = new FleetHost.Entry(
                 name,
                 store,
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -27,9 +27,9 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.FleetTiming;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.JobKeys;
@@ -63,7 +63,8 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long f) {
+        public CompletableFuture<InstanceOrderOutcome> order(
+                String instance, InstanceOperation errand, String holder, long f) {
             orderedAt.add(loop.clock().millis());
             return answers ? CompletableFuture.completedFuture(InstanceOrderOutcome.TAKEN) : new CompletableFuture<>();
         }
@@ -88,7 +89,7 @@
         OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
         ownership.start();
         passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.usual(UPKEEP_MILLIS, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetTiming timing = FleetTiming.defaults(UPKEEP_MILLIS, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
         FleetHost.Entry entry = new FleetHost.Entry(
                 name,
                 store,
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -24,8 +24,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.EndKind;
@@ -127,7 +127,7 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             CompletableFuture<InstanceOrderOutcome> r = new CompletableFuture<>();
             orders.add(r);
             return r;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.JobKey;
 import org.lupinpaddle.core.job.JobKeys;
@@ -354,7 +354,7 @@
 
         @Override
         public CompletableFuture<InstanceOrderOutcome> order(
-                String instance, Errand errand, String holder, long fence) {
+                String instance, InstanceOperation errand, String holder, long fence) {
             throw new UnsupportedOperationException("not needed here");
         }
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -31,7 +31,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.fleet.PlatformInstance.State;
@@ -292,7 +292,8 @@
         return f;
     }
 
-    CompletableFuture<InstanceOrderOutcome> order(Net net, String id, Errand errand, String holder, long fence) {
+    CompletableFuture<InstanceOrderOutcome> order(
+            Net net, String id, InstanceOperation errand, String holder, long fence) {
         CompletableFuture<InstanceOrderOutcome> f = new CompletableFuture<>();
         net.deliver(net.latency(), () -> {
             InstanceOrderOutcome o = carryOut(machines.get(id), errand, holder, fence);
@@ -301,12 +302,12 @@
         return f;
     }
 
-    private InstanceOrderOutcome carryOut(@Nullable Machine m, Errand errand, String holder, long fence) {
+    private InstanceOrderOutcome carryOut(@Nullable Machine m, InstanceOperation errand, String holder, long fence) {
         if (m == null) {
             return InstanceOrderOutcome.IMPOSSIBLE;
         }
         checkOne(m, holder, fence);
-        boolean upkeep = errand.kind() == Errand.Kind.UPKEEP;
+        boolean upkeep = errand.kind() == InstanceOperation.Kind.UPKEEP;
         if (upkeep ? maintained.contains(m.id + "/" + errand.target()) : m.pool.equals(errand.target())) {
             return InstanceOrderOutcome.TAKEN;
         }
@@ -320,8 +321,8 @@
         return InstanceOrderOutcome.TAKEN;
     }
 
-    private void takeAway(Machine m, Errand errand) {
-        boolean upkeep = errand.kind() == Errand.Kind.UPKEEP;
+    private void takeAway(Machine m, InstanceOperation errand) {
+        boolean upkeep = errand.kind() == InstanceOperation.Kind.UPKEEP;
         SimWorker w = m.worker;
         if (w != null) {
             w.takeAway(errand.toString());
--- a/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
@@ -16,8 +16,8 @@
 package org.lupinpaddle.model;
 
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
@@ -43,7 +43,8 @@
     }
 
     @Override
-    public CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long fence) {
+    public CompletableFuture<InstanceOrderOutcome> order(
+            String instance, InstanceOperation errand, String holder, long fence) {
         return world.fleet.order(world.net, instance, errand, holder, fence).thenApply(o -> {
             world.history.add("order " + instance + " " + errand + " by " + holder + ": " + o);
             return o;
