--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetPlanner.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetPlanner.java
@@ -30,18 +30,18 @@
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
 /**
- * Decides which instance leaves which pool when: for upkeep, and to keep pools as large as their work needs.
- * An instance is ordered away only after the owner of its service has said that its worker is empty. Orders
- * may be given again: the platform takes one that is done already for done.
+ * Decides which instances leave their pool and when, both for upkeep and to match the size of each pool to its
+ * demand. An instance is ordered out only after the owner of its service has reported its worker as empty. Orders
+ * are idempotent and may be repeated: the platform accepts an order that is already done.
  */
 public final class FleetPlanner {
 
     private static final long RETRY_MILLIS = 300;
-    // The platform's list lags by about a second; after this an instance that is up is taken to be back.
+    // The platform's list lags by about one second. After this margin, an instance listed as up is back.
     private static final long MAX_LIST_LAG_MILLIS = 2_500;
-    // A request is in the store, and seen there, within some dozens of milliseconds of a store that works.
+    // With a working store, a written evacuation request becomes visible within a few dozen milliseconds.
     private static final long EVACUATION_REQUEST_TIMEOUT_MILLIS = 10_000;
-    // A move is a matter of cost only: where emptying takes so long, it is not worth it.
+    // Moves only save cost; one whose evacuation takes longer than this is not worth completing.
     private static final long MOVE_EVACUATION_TIMEOUT_MILLIS = 8_000;
 
     private final FleetState state;
@@ -50,10 +50,10 @@
     private boolean listReceived;
 
     /**
-     * Makes the planner of a fleet whose ownership has just been won.
+     * Creates a planner for an owner that has just acquired the fleet.
      *
-     * @param clock for the owner's own waits
-     * @param wallClock the time of day, by which a wave's time runs over changes of owner
+     * @param clock the monotonic clock for this owner's own waits
+     * @param wallClock the time of day, by which wave deadlines are kept across changes of owner
      */
     public FleetPlanner(FleetTiming timing, FleetPort port, Clock clock, Clock wallClock) {
         state = new FleetState(timing, port, clock, wallClock);
@@ -61,7 +61,10 @@
         upkeepScheduler = new UpkeepScheduler(state);
     }
 
-    /** Takes in the platform's list. What an incomplete one does not name may be behind a row that can not be read. */
+    /**
+     * Handles a new instance list. Instances missing from an incomplete list become unknown, because they may be
+     * in a row that could not be read.
+     */
     public void onInstances(InstanceList list) {
         listReceived = true;
         state.listComplete = list.isComplete();
@@ -74,30 +77,30 @@
     }
 
     /**
-     * Takes in which instances an earlier owner has ordered lately, and until when by this owner's clock each is to be left
-     * alone; until this is known nothing is ordered. Fewer of them may be told later, when the life that ordered them is
-     * known to be over.
+     * Sets the instances that a predecessor has recently ordered, with the time on this owner's clock until which
+     * each must not be ordered. Nothing is ordered before this is known. May be called again with fewer
+     * instances, once the process that ordered the others is known to have ended.
      */
     public void onPredecessorOrders(Map<String, Long> blockedUntilByInstance) {
         state.onPredecessorOrders(blockedUntilByInstance);
     }
 
-    /** Returns how many errands are under way. */
+    /** Returns the number of ongoing operations. */
     public int operationCount() {
         return state.ongoingOperations.size();
     }
 
-    /** Takes in the services of the configuration. */
+    /** Sets the configured services. */
     public void onServices(List<ServiceConfig> services) {
         state.services = List.copyOf(services);
     }
 
-    /** Takes in a report of a service's owner. */
+    /** Handles a report from the owner of a service. */
     public void onReport(String service, ServiceReport report) {
         state.onReport(service, report);
     }
 
-    /** Takes in all evacuations that are asked for; those of an earlier owner's errands are gone on with. */
+    /** Sets all requested evacuations. Operations started by a predecessor are resumed. */
     public void onEvacuations(Map<EvacuationRecord, String> serviceByRecord) {
         state.evacuations.clear();
         serviceByRecord.keySet().forEach(r -> state.evacuations.put(r.worker(), r));
@@ -127,12 +130,12 @@
                         () -> state.port.endEvacuation(service, r.worker()));
     }
 
-    /** Takes in the waves that the operators ask for. */
+    /** Adds the waves requested by operators. */
     public void onWaves(Collection<UpkeepWave> all) {
         all.forEach(w -> state.waves.put(w.number(), w));
     }
 
-    /** Takes in how far an earlier owner has brought a wave. */
+    /** Restores the progress of a wave recorded by a predecessor. */
     public void onUpkeep(long wave, UpkeepRecord record) {
         state.begunInstances(wave).addAll(record.begun());
         if (record.completed()) {
@@ -144,7 +147,9 @@
         }
     }
 
-    /** Returns the instances that are down for their upkeep, or about to be: a successor must count them. */
+    /**
+     * Returns the instances whose upkeep has been ordered or is about to be. A successor must count them as down.
+     */
     public Set<String> inUpkeep() {
         return state.ongoingOperations.values().stream()
                 .filter(ongoing ->
@@ -153,7 +158,7 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Takes in what became of an order. */
+    /** Handles the outcome of an order. */
     public void onOrderOutcome(String instance, InstanceOperation operation, InstanceOrderOutcome outcome) {
         OngoingOperation ongoing = state.ongoingOperations.get(instance);
         if (ongoing == null || !ongoing.operation.equals(operation)) {
@@ -166,12 +171,12 @@
             case BUSY, REFUSED, UNKNOWN, FENCED -> ongoing.orderDueAt = state.now() + RETRY_MILLIS;
             case NOT_OF_WAVE -> {
                 recordBegun(ongoing);
-                state.endOperation(ongoing, "not of the wave");
+                state.endOperation(ongoing, "the instance is not part of the wave");
             }
             case IMPOSSIBLE -> {
                 state.impossibleMoves.add(instance + ">" + operation.target());
                 recordBegun(ongoing);
-                state.endOperation(ongoing, "the platform says it is impossible");
+                state.endOperation(ongoing, "the platform rejected the order as impossible");
             }
         }
     }
@@ -192,7 +197,7 @@
         }
     }
 
-    /** Does all that is due. Call after each event, and every few hundred milliseconds. */
+    /** Performs all due work. Must be called after each event and every few hundred milliseconds. */
     public void tick() {
         if (!listReceived || state.predecessorOrders == null) {
             return;
@@ -200,7 +205,7 @@
         new ArrayList<>(state.ongoingOperations.values()).forEach(this::advance);
         upkeepScheduler.run();
         sizer.run();
-        // Instances that run nothing need no emptying: their orders go out at once.
+        // Instances without tasks need no evacuation, so their orders are sent in the same pass.
         state.ongoingOperations.values().stream()
                 .filter(ongoing -> ongoing.phase == Phase.ORDERING)
                 .toList()
@@ -221,12 +226,12 @@
             return;
         }
         if (i == null || !i.worker().equals(ongoing.worker) || i.state() != PlatformInstance.State.UP) {
-            state.endOperation(ongoing, "the instance changed while it was emptied");
+            state.endOperation(ongoing, "the instance changed during its evacuation");
             return;
         }
         EvacuationRecord r = state.evacuations.get(ongoing.worker);
         if (r == null && state.now() - ongoing.begunAt > EVACUATION_REQUEST_TIMEOUT_MILLIS) {
-            state.endOperation(ongoing, "the request to empty its worker is gone");
+            state.endOperation(ongoing, "the evacuation request is missing from the store");
         } else if (r != null && r.empty() && r.errand().equals(ongoing.operation.toString())) {
             ongoing.phase = Phase.ORDERING;
             advanceOrder(ongoing);
@@ -238,20 +243,22 @@
 
     private void advanceOrder(OngoingOperation ongoing) {
         PlatformInstance i = state.instances.get(ongoing.instance);
-        // The headroom pool's workers run nothing and are not asked; elsewhere one may have come since.
+        // Workers of the headroom pool run nothing and are not evacuated. In other pools, a worker may have
+        // started on an instance that was listed without one.
         boolean evacuationRequired = !ongoing.worker.isEmpty() || (i != null && !state.isHeadroom(i.pool()));
         boolean otherWorker = i != null
                 && evacuationRequired
                 && i.state() == PlatformInstance.State.UP
                 && !i.worker().equals(ongoing.worker);
         if (otherWorker && !ongoing.orderInFlight) {
-            // Whoever lives there now has not been emptied.
-            state.endOperation(ongoing, "another worker lives on the instance");
+            // The current worker has not been evacuated.
+            state.endOperation(ongoing, "another worker runs on the instance");
             return;
         }
         if (evacuationRequired && !ongoing.orderInFlight && i != null && i.state() == PlatformInstance.State.DOWN) {
-            // Sent on until it is taken, the order would take the life that comes next and has not been emptied.
-            state.endOperation(ongoing, "the instance went down after it was emptied");
+            // Repeating the order until it is accepted would take out the next worker, which has not been
+            // evacuated.
+            state.endOperation(ongoing, "the instance went down after its evacuation");
             return;
         }
         boolean unknown = i != null && i.state() == PlatformInstance.State.UNKNOWN;
@@ -267,7 +274,7 @@
     private void advanceCompletion(OngoingOperation ongoing) {
         PlatformInstance i = state.instances.get(ongoing.instance);
         if (i == null) {
-            state.endOperation(ongoing, "the instance is gone from the list");
+            state.endOperation(ongoing, "the instance is no longer listed");
             return;
         }
         long waitedMillis = state.now() - ongoing.acceptedAt;
@@ -282,7 +289,10 @@
         }
     }
 
-    /** A new worker shows that the instance is back, but only after the time that the upkeep takes. */
+    /**
+     * Returns the minimum time before an instance counts as back. The upkeep duration must pass in any case;
+     * without a new worker as proof of the restart, the lag of the list is added.
+     */
     private long minUpkeepMillis(OngoingOperation ongoing, PlatformInstance i) {
         boolean newWorker = !ongoing.worker.isEmpty() && !i.worker().equals(ongoing.worker);
         return state.timing.upkeepMillis() + (newWorker ? 0 : MAX_LIST_LAG_MILLIS);
--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
@@ -18,27 +18,27 @@
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
 
-/** What the planner of the fleet asks of its host. Every call returns at once. */
+/** The actions that {@link FleetPlanner} requests from its host. No method blocks. */
 public interface FleetPort {
 
-    /** Asks the owner of a service to empty a worker. */
+    /** Requests the owner of a service to evacuate a worker. */
     void requestEvacuation(String service, EvacuationRecord record);
 
-    /** Takes that back, or ends it: the worker is gone, or may get tasks again. */
+    /** Withdraws or completes an evacuation request: the worker is gone, or may be given tasks again. */
     void endEvacuation(String service, String worker);
 
-    /** Orders an errand of an instance; the outcome goes to {@link FleetPlanner#onOrderOutcome}. */
+    /** Orders an operation on an instance; the outcome is passed to {@link FleetPlanner#onOrderOutcome}. */
     void order(String instance, InstanceOperation errand);
 
-    /** Writes how far a wave is. */
+    /** Stores the progress of a wave. */
     void writeUpkeep(long wave, UpkeepRecord record);
 
-    /** Tells the operators that a wave has begun. */
+    /** Reports to the operators that a wave is running. */
     void reportWaveRunning(long wave);
 
-    /** Writes that a wave is done and tells the operators, in one. */
+    /** Stores the completion of a wave and reports it to the operators, as one action. */
     void reportWaveCompleted(long wave, UpkeepRecord record);
 
-    /** Tells a decision, for the log. */
+    /** Logs a decision. */
     void logDecision(String kind, String instance, String detail);
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetState.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetState.java
@@ -32,13 +32,14 @@
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
-/** What the owner of the fleet believes. */
+/** The state of the fleet as known to its owner. */
 final class FleetState {
 
-    // A move takes an instance away for two seconds: it stays for as long, or the move was for nothing.
+    // A move makes an instance unavailable for two seconds. It must stay at least as long to make the move
+    // worthwhile.
     private static final long MIN_STAY_MILLIS = 2_500;
-    // A loaded worker is empty 0.6 to 2 s after it was asked for; the wait for an earlier owner's order passes
-    // meanwhile.
+    // A loaded worker is evacuated 0.6 to 2 s after the request. Evacuation overlaps with the wait for a
+    // predecessor's order.
     private static final long EXPECTED_EVACUATION_MILLIS = 1_200;
 
     final FleetTiming timing;
@@ -52,24 +53,29 @@
     final Map<Long, UpkeepWave> waves = new TreeMap<>();
     final Map<Long, Set<String>> begunByWave = new HashMap<>();
     final Set<Long> completed = new HashSet<>();
-    /** When an owner first saw a wave, in milliseconds since 1970. */
+    /** When any owner first saw each wave, in milliseconds since 1970. */
     final Map<Long, Long> waveFirstSeenMillis = new HashMap<>();
-    /** Workers whose evacuation this planner has ended: their records go a moment later. */
+    /** Workers whose evacuation this planner has ended. Their stored records are deleted slightly later. */
     final Set<String> releasedWorkers = new HashSet<>();
-    /** Workers that do not answer their owners, by the newest reports. */
+    /** Workers that do not respond to their owner, by pool, according to the latest reports. */
     private final Map<String, Set<String>> unreachableByPool = new HashMap<>();
-    /** When an errand of an instance has ended. */
+    /** When the last operation of each instance ended. */
     private final Map<String, Long> operationEndedAt = new HashMap<>();
-    /** Moves that the platform has said to be impossible, as instance and pool. */
+    /** Moves that the platform rejected as impossible, as {@code instance>pool}. */
     final Set<String> impossibleMoves = new HashSet<>();
 
     List<ServiceConfig> services = List.of();
-    /** Whether the newest list of instances names all of them. */
+    /** Whether the latest instance list was complete. */
     boolean listComplete = true;
-    /** Until when instances are left alone that an earlier owner has ordered lately; null while that is not known. */
+    /**
+     * The time until which each instance ordered by a predecessor must not be ordered again; null until known.
+     */
     @Nullable
     Map<String, Long> predecessorOrders;
-    /** Instances that earlier owners have ordered lately, whoever lives: they may be down by those orders. */
+    /**
+     * Instances recently ordered by predecessors, including processes that have ended: the orders may still have
+     * taken them down.
+     */
     private final Set<String> orderedByPredecessors = new HashSet<>();
 
     private final long startedAt;
@@ -82,18 +88,20 @@
         this.startedAt = clock.millis();
     }
 
-    /** Returns whether an earlier owner's orders are long past. */
+    /**
+     * Returns whether the take-over period, in which a predecessor's orders may still take effect, has passed.
+     */
     boolean isTakeOverComplete() {
         return now() - startedAt >= timing.takeOverMillis();
     }
 
-    /** Takes in which instances earlier owners have ordered lately that must be left alone. */
+    /** Sets the instances that predecessors have recently ordered, with the end of their wait. */
     void onPredecessorOrders(Map<String, Long> blockedUntilByInstance) {
         predecessorOrders = Map.copyOf(blockedUntilByInstance);
         orderedByPredecessors.addAll(blockedUntilByInstance.keySet());
     }
 
-    /** Returns whether an instance is, or may be, down for upkeep by an earlier owner's order. */
+    /** Returns whether an instance is or may be down because of a predecessor's order. */
     boolean mayBeDownByPredecessor(PlatformInstance i) {
         boolean hasOwnOperation = ongoingOperations.containsKey(i.id());
         boolean orderedRecently = !isTakeOverComplete() && orderedByPredecessors.contains(i.id());
@@ -102,12 +110,15 @@
         return !hasOwnOperation && (orderedRecently || listedDownOrUnknown);
     }
 
-    /** Returns whether the instance may be ordered: no earlier owner has done so lately. */
+    /** Returns whether the instance may be ordered now, given the recent orders of predecessors. */
     boolean mayOrder(String instance) {
         return mayOrderAt(instance, now());
     }
 
-    /** Returns whether the instance may be chosen for a move: it may be ordered by the time that it is empty. */
+    /**
+     * Returns whether the instance may be selected for a move: whether it may be ordered by the time its
+     * evacuation is expected to end.
+     */
     boolean mayOrderOnceEvacuated(PlatformInstance i) {
         boolean needsEvacuation = !isHeadroom(i.pool()) && !i.worker().isEmpty();
         return mayOrderAt(i.id(), now() + (needsEvacuation ? EXPECTED_EVACUATION_MILLIS : 0));
@@ -140,7 +151,7 @@
                 .toList();
     }
 
-    /** Returns the instances of a pool that are up and are not about to leave it. */
+    /** Returns the instances of a pool that are up and have no ongoing operation. */
     List<PlatformInstance> remainingInstances(String pool) {
         return instances.values().stream()
                 .filter(i -> i.pool().equals(pool)
@@ -149,7 +160,7 @@
                 .toList();
     }
 
-    /** Takes in a report of a service's owner. */
+    /** Handles a report from the owner of a service. */
     void onReport(String service, ServiceReport report) {
         reports.put(service, report);
         unreachableByPool.put(
@@ -160,7 +171,7 @@
                         .collect(Collectors.toSet()));
     }
 
-    /** Returns the staying instances of a pool that are of use now: whose worker answers its owner, as far as is known. */
+    /** Returns the remaining instances of a pool whose worker is not reported as unreachable. */
     List<PlatformInstance> usableInstances(String pool) {
         Set<String> unreachable = unreachableByPool.getOrDefault(pool, Set.of());
         return remainingInstances(pool).stream()
@@ -168,7 +179,7 @@
                 .toList();
     }
 
-    /** Returns how many instances are on their way into a pool, by this planner's order or an earlier one's. */
+    /** Returns the number of instances moving into a pool, by order of this planner or a predecessor. */
     int incomingCount(String pool) {
         long ordered = ongoingOperations.values().stream()
                 .filter(ongoing -> ongoing.isMoveTo(pool))
@@ -181,7 +192,10 @@
         return (int) (ordered + orderedByOthers);
     }
 
-    /** Returns how many tasks an instance's worker carries, lasting ones counted several times. */
+    /**
+     * Returns the weighted number of tasks of an instance's worker; a long-running task counts {@link
+     * #LONG_RUNNING_WEIGHT} times.
+     */
     int load(PlatformInstance i) {
         ServiceReport r = reports.get(i.pool());
         if (r == null) {
@@ -194,14 +208,16 @@
                 .orElse(0);
     }
 
-    // A lasting task has to be moved and is away meanwhile; a finite one ends by itself.
+    // A long-running task must be moved and is interrupted meanwhile; a finite task ends by itself.
     private static final int LONG_RUNNING_WEIGHT = 10;
 
     private static int weight(WorkerLoad w) {
         return w.lasting() * LONG_RUNNING_WEIGHT + w.finite();
     }
 
-    /** Returns when an owner first saw the wave, in milliseconds since 1970: now, where none is known to have. */
+    /**
+     * Returns when any owner first saw the wave, in milliseconds since 1970. Records the current time if unknown.
+     */
     long firstSeenMillis(long wave) {
         return waveFirstSeenMillis.computeIfAbsent(wave, w -> wallClock.millis());
     }
@@ -210,7 +226,7 @@
         return begunByWave.computeIfAbsent(wave, w -> new HashSet<>());
     }
 
-    /** Sends an instance on an errand; an urgent one is for work that waits. */
+    /** Starts an operation on an instance. An urgent operation is one that waiting work depends on. */
     void startOperation(PlatformInstance i, InstanceOperation operation, boolean urgent) {
         boolean runsNothing = isHeadroom(i.pool()) || i.worker().isEmpty();
         OngoingOperation ongoing =
@@ -229,7 +245,7 @@
         return now() - operationEndedAt.getOrDefault(i.id(), Long.MIN_VALUE / 2) >= MIN_STAY_MILLIS;
     }
 
-    /** Ends an errand, done or not. */
+    /** Ends an operation, whether it succeeded or not. */
     void endOperation(OngoingOperation ongoing, String why) {
         operationEndedAt.put(ongoing.instance, now());
         ongoingOperations.remove(ongoing.instance);
@@ -239,7 +255,8 @@
                 "errand=" + ongoing.operation + " millis=" + (now() - ongoing.begunAt) + " why=" + why);
         if (!ongoing.worker.isEmpty()) {
             releasedWorkers.add(ongoing.worker);
-            // What it answers to is over; its service may give the worker tasks from now on.
+            // The stored answer belongs to the ended operation and must not be used for the next one: the service
+            // may give the worker tasks again from now on.
             evacuations.remove(ongoing.worker);
             port.endEvacuation(ongoing.service, ongoing.worker);
         }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetTiming.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetTiming.java
@@ -16,23 +16,24 @@
 package org.lupinpaddle.core.fleet;
 
 /**
- * Times and sizes that the planner of the fleet goes by.
+ * Durations and pool sizes that the planner uses.
  *
- * @param upkeepMillis how long the platform takes for the upkeep of an instance
- * @param takeOverMillis how long a new owner leaves instances alone that its predecessor has ordered lately
- * @param shrinkAfterMillis a pool must have been too large for so long before instances leave it
- * @param minWorkers the fewest workers that a pool keeps
- * @param reserve workers that a pool keeps beyond what its work needs: the buffer for losses and bursts
+ * @param upkeepMillis the duration of an upkeep on the platform
+ * @param takeOverMillis how long a new owner does not order instances that its predecessor ordered recently
+ * @param shrinkAfterMillis how long a pool must be oversized before instances leave it
+ * @param minWorkers the minimum number of workers in a pool
+ * @param reserve workers that a pool keeps beyond its demand, as a buffer for losses and bursts
  */
 public record FleetTiming(long upkeepMillis, long takeOverMillis, long shrinkAfterMillis, int minWorkers, int reserve) {
 
-    // A move costs as much as an instance for one second, and there are two until it is back.
+    // A move costs as much as running an instance for one second, and it takes two seconds until the instance is
+    // back.
     private static final long SHRINK_AFTER_MILLIS = 1_500;
-    // The loss of one leaves work somewhere to go.
+    // With two workers, the loss of one leaves another to run its tasks.
     private static final int MIN_WORKERS = 2;
     private static final int RESERVE = 1;
 
-    /** Returns the usual times. */
+    /** Returns the default timing. */
     public static FleetTiming defaults(long upkeepMillis, long takeOverMillis) {
         return new FleetTiming(upkeepMillis, takeOverMillis, SHRINK_AFTER_MILLIS, MIN_WORKERS, RESERVE);
     }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/InstanceList.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/InstanceList.java
@@ -20,28 +20,34 @@
 import org.lupinpaddle.core.common.Unreadable;
 
 /**
- * The platform's list of its instances.
+ * The platform's list of instances.
  *
- * @param instances those that are named
- * @param unreadable what is wrong with rows that can not be read, by instance; {@link #UNKNOWN_ID} stands for all of which
- *     not even that is known
+ * @param instances the instances that could be read
+ * @param unreadable the errors of rows that could not be read, by instance id; {@link #UNKNOWN_ID} stands for all
+ *     rows whose id could not be read either
  */
 public record InstanceList(List<PlatformInstance> instances, Map<String, Unreadable> unreadable) {
 
-    /** Stands for an instance whose id can not be read. */
+    /** The key for rows whose instance id could not be read. */
     public static final String UNKNOWN_ID = "";
 
-    /** Returns a list all of whose rows can be read. */
+    /** Returns a list without unreadable rows. */
     public static InstanceList of(List<PlatformInstance> all) {
         return new InstanceList(all, Map.of());
     }
 
-    /** Returns whether these are all: only then an instance that is not named does not exist. */
+    /**
+     * Returns whether every instance id is known. Only then does the absence of an instance mean that it does not
+     * exist.
+     */
     public boolean isComplete() {
         return !unreadable.containsKey(UNKNOWN_ID);
     }
 
-    /** Returns whether it tells the worker of each instance: only then a worker that is not named is gone. */
+    /**
+     * Returns whether the worker of every instance is known. Only then does the absence of a worker mean that it
+     * is gone.
+     */
     public boolean namesAllWorkers() {
         return unreadable.isEmpty();
     }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/InstanceOperation.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/InstanceOperation.java
@@ -19,40 +19,40 @@
 import java.util.regex.Pattern;
 
 /**
- * What an instance is to be taken out of its pool for.
+ * An operation for which an instance leaves its pool.
  *
- * @param kind upkeep or a move
- * @param target the wave's number for upkeep, the pool for a move
+ * @param kind the kind of operation
+ * @param target the wave number of an upkeep, or the destination pool of a move
  */
 public record InstanceOperation(Kind kind, String target) {
 
     private static final char SEPARATOR = ':';
     private static final Pattern WAVE = Pattern.compile("[0-9]{1,18}");
 
-    /** Upkeep or a move. */
+    /** The kinds of operation. */
     public enum Kind {
-        /** The instance is maintained and comes back to its pool. */
+        /** The instance is maintained and returns to its pool. */
         UPKEEP,
-        /** The instance goes to another pool. */
+        /** The instance moves to another pool. */
         MOVE
     }
 
-    /** Returns the upkeep of a wave. */
+    /** Returns the upkeep operation of a wave. */
     public static InstanceOperation upkeep(long wave) {
         return new InstanceOperation(Kind.UPKEEP, Long.toString(wave));
     }
 
-    /** Returns a move to a pool. */
+    /** Returns an operation that moves an instance to a pool. */
     public static InstanceOperation move(String pool) {
         return new InstanceOperation(Kind.MOVE, pool);
     }
 
-    /** Returns whether this is the upkeep of the wave. */
+    /** Returns whether this operation is the upkeep for the given wave. */
     public boolean isUpkeepOf(long wave) {
         return kind == Kind.UPKEEP && target.equals(Long.toString(wave));
     }
 
-    /** Returns the errand in a text written by {@link #toString}, or nothing. */
+    /** Parses the format written by {@link #toString}; returns empty if the text is malformed. */
     public static Optional<InstanceOperation> parse(String text) {
         int separator = text.indexOf(SEPARATOR);
         if (separator < 0) {
@@ -67,7 +67,7 @@
         return Optional.empty();
     }
 
-    /** Returns whether the target is one of its kind: a wave's number, or the name of a pool. */
+    /** Returns whether the target is valid for the kind: a wave number, or a non-blank pool name. */
     private boolean hasValidTarget() {
         return kind == Kind.UPKEEP ? WAVE.matcher(target).matches() : !target.isBlank();
     }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/InstanceOrderOutcome.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/InstanceOrderOutcome.java
@@ -15,20 +15,20 @@
  */
 package org.lupinpaddle.core.fleet;
 
-/** What became of an order on an instance. */
+/** The outcome of an order on an instance. */
 public enum InstanceOrderOutcome {
-    /** Taken, now or before. */
+    /** The order was accepted, now or earlier. */
     TAKEN,
     /** The instance is not up, or is leaving. */
     BUSY,
-    /** The instance is not one of the wave. */
+    /** The instance is not part of the wave. */
     NOT_OF_WAVE,
-    /** There is no such instance, or it does not belong into such a pool. */
+    /** The instance does not exist, or can not belong to the target pool. */
     IMPOSSIBLE,
-    /** A newer owner has given an order. */
+    /** A newer owner has sent an order. */
     FENCED,
-    /** Nothing was done: the platform is down, or the rate is used up. */
+    /** The order had no effect: the platform is down or the rate limit is used up. */
     REFUSED,
-    /** No answer: it may have been done, or may still be done. */
+    /** There was no answer: the order may have been carried out, or may still be. */
     UNKNOWN
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/OngoingOperation.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/OngoingOperation.java
@@ -15,16 +15,16 @@
  */
 package org.lupinpaddle.core.fleet;
 
-/** One instance that is being taken out of its pool, from the wish until it is back. */
+/** An operation in progress, from the decision to take out the instance until it is back. */
 final class OngoingOperation {
 
-    /** How far an errand is. */
+    /** The phases of an operation. */
     enum Phase {
-        /** The worker's tasks are leaving. */
+        /** The worker is being evacuated. */
         EVACUATING,
-        /** The order is to be given, or its answer is awaited. */
+        /** The order is to be sent, or its outcome is pending. */
         ORDERING,
-        /** The platform is at it. */
+        /** The platform has accepted the order and is carrying it out. */
         AWAITING_COMPLETION
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/fleet/PlatformInstance.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/PlatformInstance.java
@@ -16,32 +16,32 @@
 package org.lupinpaddle.core.fleet;
 
 /**
- * One instance as the platform's list shows it. The list lags.
+ * An instance as listed by the platform. The list lags behind the actual state.
  *
- * @param id the platform's name of the instance; it stays across moves and upkeep
- * @param pool the service whose pool it belongs to
- * @param state what it is doing
- * @param hall the data hall it stands in
- * @param worker the id of the worker that runs on it; empty for none
+ * @param id the platform's id of the instance, which is stable across moves and upkeep
+ * @param pool the service whose pool the instance belongs to
+ * @param state the current state
+ * @param hall the data hall of the instance
+ * @param worker the id of the worker running on it, or empty for none
  */
 public record PlatformInstance(String id, String pool, State state, String hall, String worker) {
 
-    /** Returns an instance of which nothing but its id can be read. */
+    /** Returns an instance of which only the id could be read. */
     public static PlatformInstance unknown(String id) {
         return new PlatformInstance(id, "", State.UNKNOWN, "", "");
     }
 
-    /** What an instance is doing. */
+    /** The states of an instance. */
     public enum State {
-        /** It is part of its pool. */
+        /** The instance is available in its pool. */
         UP,
-        /** It is on its way to another pool. */
+        /** The instance is moving to another pool. */
         MOVING,
-        /** It is being maintained. */
+        /** The instance is under maintenance. */
         UPKEEP,
-        /** It is out of order. */
+        /** The instance is out of service. */
         DOWN,
-        /** What the platform says of it can not be read: it may be doing any of these. */
+        /** The state could not be read, so the instance may be in any of the other states. */
         UNKNOWN
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/fleet/PoolSizer.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/PoolSizer.java
@@ -25,28 +25,29 @@
 import org.lupinpaddle.core.capacity.ServiceReport;
 
 /**
- * Keeps each pool as large as its work needs, and a reserve, or at its share of the fleet while all work asks for more than
- * there is: fills it from the headroom pool, then from pools that have more; sends what is too much for a while into
- * the headroom pool.
+ * Sizes each pool to its demand plus a reserve, or to its share of the fleet while total demand exceeds the
+ * number of instances. Pools grow from the headroom pool first, then from pools with a surplus. A surplus that
+ * persists moves to the headroom pool.
  */
 final class PoolSizer {
 
-    // Of instances that still carry something a pool gives up so many at a time; idle ones leave at once.
+    // Limits how many loaded instances of a pool are evacuated at the same time; idle instances leave at once.
     private static final int MAX_CONCURRENT_EVACUATIONS = 3;
 
-    // Half of the fleet belongs to the pools in equal parts, the other half to where the work is: a pool whose demand
-    // begins has something to begin with while other pools' instances are on their way (docs/POLICY.md, rounds 10, 11).
+    // Half of the fleet is divided evenly between the pools, the other half goes where the demand is. A pool
+    // whose demand starts can thus begin with its own instances while others are moving to it (docs/POLICY.md,
+    // rounds 10, 11).
     private static final int STANDBY_DIVISOR = 2;
 
     private final FleetState state;
     private Map<String, Integer> shares = Map.of();
-    /** How many instances each pool has at least, needed or not. */
+    /** The minimum number of instances of each pool, regardless of demand. */
     private int standby;
-    /** Whether all work asks for more instances than there are. */
+    /** Whether total demand exceeds the number of instances. */
     private boolean overcommitted;
 
     private final Map<String, SlidingMaximum> recentHighs = new HashMap<>();
-    /** How many instances each pool does not give away. */
+    /** The number of instances that each pool does not give to other pools. */
     private final Map<String, Integer> retained = new HashMap<>();
 
     private final Map<String, Long> oversizedSince = new HashMap<>();
@@ -69,7 +70,7 @@
         retained.put(pool, overcommitted ? high : share);
     }
 
-    /** Returns how many instances each pool is to have: what all its work asks for, or its part while that is too much. */
+    /** Returns the target size of each pool: its demand, or its share while demand exceeds the fleet. */
     private Map<String, Integer> computeShares(List<String> pools) {
         int instances = state.headroomPool()
                         .map(h -> state.remainingInstances(h).size())
@@ -84,7 +85,10 @@
         return shares.getOrDefault(pool, 0);
     }
 
-    /** Returns how many instances all of a pool's work asks for; what it has where its owner has not told yet. */
+    /**
+     * Returns the number of instances that a pool's work requests, or its current size if its owner has not
+     * reported yet.
+     */
     private int requested(String pool) {
         ServiceReport r = state.reports.get(pool);
         return r == null ? supply(pool) : Math.max(standby, r.needed() + state.timing.reserve());
@@ -99,7 +103,7 @@
         return new FleetShares.Claim(pool, standby, firm, r.late(), Math.max(0, requested(pool) - firm - r.late()));
     }
 
-    /** Returns whether a pool lacks instances for work that can still end in time. */
+    /** Returns whether a pool has too few instances for the work that can still meet its deadline. */
     private boolean lacksRequiredInstances(String pool) {
         ServiceReport r = state.reports.get(pool);
         return r != null && supply(pool) < r.firm();
@@ -136,8 +140,9 @@
     }
 
     /**
-     * Returns whether a pool has more at work than it keeps. Those on their way to it do not count: they come 2 to 4 s later,
-     * and a quarter to a half of all moves took instances from pools that were waiting for others.
+     * Returns whether a pool has more usable instances than it retains. Incoming instances are not counted: they
+     * arrive 2 to 4 s later, and counting them caused a quarter to a half of all moves to take instances from
+     * pools that were themselves waiting for some.
      */
     private boolean hasSurplus(String pool) {
         return state.usableInstances(pool).size() > retained.getOrDefault(pool, 0);
@@ -160,7 +165,7 @@
     }
 
     private void shrink(String pool) {
-        // Also work that is too late to count is finished, on what nobody else asks for.
+        // Work that is too late to count is still completed, on instances that no other pool requests.
         int surplus = supply(pool) - Math.max(share(pool), requested(pool));
         Optional<String> headroom = state.headroomPool();
         if (surplus <= 0 || headroom.isEmpty() || state.incomingCount(pool) > 0) {
--- a/core/src/main/java/org/lupinpaddle/core/fleet/RecentOrders.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/RecentOrders.java
@@ -18,18 +18,19 @@
 import java.util.Map;
 
 /**
- * Which instances the owner of the fleet has ordered lately. It is written before the orders go out, so that a
- * successor knows which instances it must leave alone for a while.
+ * The instances that the owner of the fleet has ordered recently. The record is written before the orders are
+ * sent, so that a successor knows which instances it must not order for a while.
  *
- * @param lifeByInstance the instances, each with the life of the entry that ordered it: its process from one start
- *     to its end. What a life that is over has ordered need not be waited for.
- * @param waitMillisByInstance for how long after the record's writing each of them is to be left alone, in milliseconds
+ * @param lifeByInstance for each instance, the process that ordered it, from its start to its end; a successor
+ *     need not wait for orders of a process that has ended
+ * @param waitMillisByInstance for each instance, how long after this record was written it must not be ordered,
+ *     in milliseconds
  */
 public record RecentOrders(Map<String, String> lifeByInstance, Map<String, Long> waitMillisByInstance) {
 
     /**
-     * Returns for how long from the record's writing on a successor leaves the instance alone; {@code maxMillis} where the
-     * writer has not told, and never more.
+     * Returns how long after the record was written a successor must not order the instance. Returns {@code
+     * maxMillis} if the record has no value, and never more.
      */
     public long waitMillis(String instance, long maxMillis) {
         Long recordedMillis = waitMillisByInstance.get(instance);
--- a/core/src/main/java/org/lupinpaddle/core/fleet/SlidingMaximum.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/SlidingMaximum.java
@@ -18,17 +18,20 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** The highest of a pool's shares over the last moments: what a pool has needed just now it does not give away. */
+/**
+ * The maximum of a pool's share over a short time window. A pool does not give away what it needed a moment ago.
+ */
 final class SlidingMaximum {
 
-    // Jobs come one by one and end in groups: for some hundreds of milliseconds a share says little.
+    // Jobs arrive one by one and end in groups, so a single share is not representative for some hundreds of
+    // milliseconds.
     private static final long WINDOW_MILLIS = 800;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
     private record Sample(long at, int share) {}
 
-    /** Takes in the share of now and returns the highest of the window. */
+    /** Adds the current share and returns the maximum of the window. */
     int update(long now, int share) {
         while (!samples.isEmpty() && now - samples.getFirst().at() > WINDOW_MILLIS) {
             samples.removeFirst();
--- a/core/src/main/java/org/lupinpaddle/core/fleet/UpkeepScheduler.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/UpkeepScheduler.java
@@ -25,22 +25,23 @@
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
 /**
- * Drives waves of upkeep: never more of a wave out at one time than its operators allow, instances that run
- * nothing first, and from a pool that works no more at one time than its work can do without.
+ * Runs upkeep waves. The number of instances that are down at the same time never exceeds the wave's limit,
+ * instances without tasks go first, and a busy pool gives up only what it can spare while the wave is on
+ * schedule.
  */
 final class UpkeepScheduler {
 
-    // By this share of its time all of a wave is to have begun: what is left is for emptying the last workers, which
-    // takes as long as their tasks, and for their upkeep.
+    // All upkeep should have started after this fraction of a wave's duration. The rest is needed to evacuate the
+    // last workers, which takes as long as their tasks, and for their upkeep.
     private static final double START_DEADLINE_FRACTION = 0.7;
 
-    /** How a wave stands by its time, and what its pools have to bear for it. */
+    /** The progress of a wave relative to its deadline, which decides what its pools must give up. */
     private enum Pace {
-        /** Only instances leave that their pool's work can do without. */
+        /** Only instances that their pool can spare are taken out. */
         ON_SCHEDULE,
-        /** Too few have begun for the time that has passed: a pool that works gives one at a time. */
+        /** Too few instances have started for the elapsed time: a busy pool gives up one at a time. */
         BEHIND_SCHEDULE,
-        /** As many leave as may be down at one time, whatever their pools have to do. */
+        /** Instances are taken out up to the wave's limit, whatever the load of their pools. */
         OVERDUE
     }
 
@@ -88,7 +89,10 @@
         }
     }
 
-    /** Returns how many instances of the wave are down, or on their way, by this owner's orders or an earlier one's. */
+    /**
+     * Returns the number of the wave's instances that are down or about to be, by order of this owner or a
+     * predecessor.
+     */
     private long countDown(UpkeepWave w) {
         long ownDown = state.ongoingOperations.values().stream()
                 .filter(e -> e.operation.isUpkeepOf(w.number()))
--- a/core/src/test/java/org/lupinpaddle/core/fleet/EvacuationAnswerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/EvacuationAnswerTest.java
@@ -25,7 +25,7 @@
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
-/** An answer to one request to empty a worker is no answer to the next. */
+/** The answer to one evacuation request must not be used for the next. */
 class EvacuationAnswerTest {
 
     private final FakeFleetPort port = new FakeFleetPort();
@@ -50,17 +50,20 @@
         planner.tick();
         assertEquals(List.of("m2 UPKEEP:1"), port.orders);
         planner.onOrderOutcome("m2", first, InstanceOrderOutcome.NOT_OF_WAVE);
-        assertEquals(List.of("w2"), port.releasedWorkers, "its service may give the worker tasks from now on");
+        assertEquals(List.of("w2"), port.releasedWorkers, "the service may give the worker tasks again");
         planner.onWaves(List.of(new UpkeepWave(2, List.of("m2"), 20_000, 1)));
         for (int i = 0; i < 3; i++) {
             now += 100;
             planner.tick();
         }
         assertEquals(2, port.evacuationRequests.size());
-        assertEquals(List.of("m2 UPKEEP:1"), port.orders, "the watch still shows the answer to the first request");
+        assertEquals(List.of("m2 UPKEEP:1"), port.orders, "the stored answer belongs to the first request");
     }
 
-    /** The platform's list lags: a worker that has come since was never asked, and may have tasks by now. */
+    /**
+     * The platform's list lags. A worker that started after the listing was never evacuated and may already have
+     * tasks.
+     */
     @Test
     void isRequiredForAWorkerThatAppearedAfterTheInstanceWasListedEmpty() {
         planner.onPredecessorOrders(Map.of());
@@ -76,6 +79,6 @@
             now += 100;
             planner.tick();
         }
-        assertEquals(List.of("m2 UPKEEP:1"), port.orders, "w9 has not been emptied");
+        assertEquals(List.of("m2 UPKEEP:1"), port.orders, "w9 has not been evacuated");
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/fleet/FakeFleetPort.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/FakeFleetPort.java
@@ -20,7 +20,7 @@
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
 
-/** Keeps what a planner asks for. */
+/** Records the requests of a planner. */
 final class FakeFleetPort implements FleetPort {
 
     final List<EvacuationRecord> evacuationRequests = new ArrayList<>();
--- a/core/src/test/java/org/lupinpaddle/core/fleet/FleetPlannerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/fleet/FleetPlannerTest.java
@@ -44,7 +44,7 @@
     private final FleetPlanner planner =
             new FleetPlanner(new FleetTiming(UPKEEP_MILLIS, 0, 1_000, 2, 1), port, () -> now, this::wallMillis);
 
-    /** The time of day goes on over a change of owner. */
+    /** The wall clock continues across a change of owner. */
     private long wallMillis() {
         return 1_700_000_000_000L + now;
     }
@@ -94,8 +94,9 @@
         }
 
         /**
-         * Seen as a worker that is gone 0.3 s after it came, with what it had just been given: its instance had crashed after it was
-         * emptied, and the order for it was sent again until it was back.
+         * Guards against losing a worker 0.3 s after it started, together with its new tasks: its instance had
+         * crashed after the evacuation of the previous worker, and the order was repeated until the instance was
+         * back.
          */
         @Test
         void isNotOrderedForAWorkerThatStartedAfterTheInstanceWentDown() {
@@ -108,7 +109,7 @@
             planner.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), down)));
             advanceClock(1_000);
             advanceClock(1_000);
-            assertEquals(List.of("m2 UPKEEP:1"), port.orders, "whoever comes back has not been emptied");
+            assertEquals(List.of("m2 UPKEEP:1"), port.orders, "the next worker has not been evacuated");
         }
 
         @Test
@@ -120,7 +121,8 @@
             planner.onOrderOutcome("m2", operation, InstanceOrderOutcome.TAKEN);
             planner.onInstances(InstanceList.of(List.of(up("m1", "clips", "w1"), up("m2", "clips", "w3"))));
             advanceClock(UPKEEP_MILLIS - 1);
-            assertEquals(1, port.evacuationRequests.size(), "the list may show a life from before the upkeep");
+            assertEquals(
+                    1, port.evacuationRequests.size(), "the list may show a worker that started before the upkeep");
             advanceClock(2);
             assertEquals(2, port.evacuationRequests.size());
         }
@@ -138,9 +140,10 @@
             givenFleet(2, up("m1", "clips", "w1"), up("m2", "clips", "w2"));
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2"), 20_000, 1)));
             advanceClock(0);
-            assertTrue(port.evacuationRequests.isEmpty(), "both are needed");
+            assertTrue(port.evacuationRequests.isEmpty(), "the pool needs both instances");
             advanceClock(15_000);
-            assertEquals(1, port.evacuationRequests.size(), "the wave must end in time, however busy its pools are");
+            assertEquals(
+                    1, port.evacuationRequests.size(), "the wave must meet its deadline even if its pools are busy");
         }
 
         @Test
@@ -154,9 +157,9 @@
             planner.onWaves(List.of(new UpkeepWave(1, List.of("m2", "m3", "m4"), 20_000, 2)));
             advanceClock(0);
             advanceClock(10_000);
-            assertEquals(1, port.evacuationRequests.size(), "behind, one at a time leaves a pool that works");
+            assertEquals(1, port.evacuationRequests.size(), "behind schedule, a busy pool gives up one at a time");
             advanceClock(4_500);
-            assertEquals(2, port.evacuationRequests.size(), "and as many as are allowed once time runs out");
+            assertEquals(2, port.evacuationRequests.size(), "overdue, the concurrency limit applies");
         }
 
         @Test
@@ -234,7 +237,7 @@
             long moved = port.evacuationRequests.stream()
                     .filter(r -> r.errand().equals("MOVE:clips"))
                     .count();
-            assertEquals(4, moved, "three and the reserve; the other pool keeps its least");
+            assertEquals(4, moved, "three and the reserve; the other pool keeps its minimum");
         }
 
         @Test
@@ -247,7 +250,7 @@
             planner.onReport("clips", report(4, 0, 0));
             planner.onReport("archive", report(0, 0, 9));
             advanceClock(100);
-            assertTrue(port.evacuationRequests.isEmpty(), "a need that is gone for a moment may come back");
+            assertTrue(port.evacuationRequests.isEmpty(), "the demand may return within moments");
             advanceClock(900);
             assertEquals(3, port.evacuationRequests.size());
         }
@@ -278,11 +281,13 @@
             all.add(up("m2", "archive", "a2"));
             twoPools(report(5, 0, 0), report(3, 0, 0), all.toArray(PlatformInstance[]::new));
             advanceClock(0);
-            assertTrue(port.evacuationRequests.isEmpty(), "four are here and six are needed, whatever comes later");
+            assertTrue(
+                    port.evacuationRequests.isEmpty(),
+                    "four are up and six are needed; incoming instances do not count");
             all.replaceAll(i -> i.state() == PlatformInstance.State.UP ? i : up(i.id(), "clips", "w-" + i.id()));
             planner.onInstances(InstanceList.of(all));
             advanceClock(100);
-            assertEquals(2, port.evacuationRequests.size(), "all are here: two are too many");
+            assertEquals(2, port.evacuationRequests.size(), "all are up: two are surplus");
         }
 
         @Test
@@ -292,7 +297,7 @@
             advanceClock(5_000);
             assertTrue(
                     port.evacuationRequests.stream().noneMatch(r -> r.errand().equals("MOVE:spare")),
-                    "it is still to be finished");
+                    "the work is still to be completed");
         }
     }
 
@@ -319,7 +324,7 @@
             assertTrue(port.orders.isEmpty());
             successor.onPredecessorOrders(Map.of("m2", 14_000L));
             successor.tick();
-            assertEquals(List.of("m3 MOVE:clips"), port.orders, "the other instance was ordered lately");
+            assertEquals(List.of("m3 MOVE:clips"), port.orders, "the other instance was ordered recently");
             now += 4_000;
             successor.tick();
             assertEquals(List.of("m3 MOVE:clips", "m2 MOVE:clips"), port.orders);
@@ -337,7 +342,7 @@
             successor.onReport("archive", new ServiceReport(Map.of(), 1, 1, 0, List.of()));
             successor.onPredecessorOrders(Map.of("m1", now + 1_000, "m2", now + 1_000, "m3", now + 1_000));
             successor.tick();
-            assertFalse(port.evacuationRequests.isEmpty(), "emptying takes as long as what is left to wait");
+            assertFalse(port.evacuationRequests.isEmpty(), "the evacuation takes as long as the remaining wait");
             EvacuationRecord asked = port.evacuationRequests.get(0);
             successor.onEvacuations(Map.of(
                     new EvacuationRecord(asked.worker(), asked.instance(), asked.errand(), false, true), "clips"));
@@ -367,10 +372,10 @@
             FleetPlanner s = successorWithSpareInstances(
                     Set.of("m1"), 2, up("m1", "spare", ""), up("m2", "spare", ""), up("m3", "spare", ""));
             s.tick();
-            assertEquals(List.of("m2 UPKEEP:1"), port.orders, "m1 may be down, and two are allowed");
+            assertEquals(List.of("m2 UPKEEP:1"), port.orders, "m1 may be down, and the limit is two");
             now += 4_000;
             s.tick();
-            assertEquals(2, port.orders.size(), "by then it is back");
+            assertEquals(2, port.orders.size(), "m1 is back by then");
         }
 
         @Test
@@ -378,7 +383,7 @@
             FleetPlanner s = successorWithSpareInstances(Set.of("m1"), 1, up("m1", "spare", ""), up("m2", "spare", ""));
             s.onPredecessorOrders(Map.of());
             s.tick();
-            assertTrue(port.orders.isEmpty(), "its order has been carried out all the same");
+            assertTrue(port.orders.isEmpty(), "the order may have been carried out");
             now += 4_000;
             s.tick();
             assertEquals(1, port.orders.size());
@@ -404,7 +409,7 @@
             s.tick();
             now += 30_000;
             s.tick();
-            assertTrue(port.orders.isEmpty(), "it may be down, and one is allowed");
+            assertTrue(port.orders.isEmpty(), "m1 may be down, and the limit is one");
             s.onInstances(InstanceList.of(List.of(up("m1", "spare", ""), up("m2", "spare", ""))));
             s.tick();
             assertEquals(1, port.orders.size());
@@ -428,7 +433,7 @@
         void beginsUpkeepAtOnceWithoutRecentOrders() {
             FleetPlanner s = successorWithSpareInstances(Set.of(), 1, up("m1", "spare", ""), up("m2", "spare", ""));
             s.tick();
-            assertEquals(1, port.orders.size(), "a wave's time goes on while owners change");
+            assertEquals(1, port.orders.size(), "the wave's deadline does not move with a change of owner");
         }
 
         @Test
@@ -442,7 +447,7 @@
             s.onUpkeep(1, new UpkeepRecord(List.of(), false, wallMillis()));
             s.onWaves(List.of(new UpkeepWave(1, List.of("m1", "m2"), 20_000, 2)));
             s.tick();
-            assertTrue(port.evacuationRequests.isEmpty(), "most of its time is left, and the pool needs both");
+            assertTrue(port.evacuationRequests.isEmpty(), "the wave is on schedule, and the pool needs both instances");
             now += 14_000;
             s.tick();
             assertEquals(2, port.evacuationRequests.size());
@@ -467,7 +472,7 @@
             givenFleet(
                     3, up("m1", "clips", "w1"), up("m2", "clips", "w2"), up("m3", "spare", ""), up("m4", "spare", ""));
             advanceClock(0);
-            assertEquals(2, port.orders.size(), "three needed and one in reserve");
+            assertEquals(2, port.orders.size(), "three are needed and one is the reserve");
         }
 
         @Test
@@ -477,7 +482,7 @@
             assertTrue(port.evacuationRequests.isEmpty());
             advanceClock(1_100);
             assertEquals(1, port.evacuationRequests.size());
-            assertTrue(!port.evacuationRequests.get(0).worker().equals("w1"), "the busiest leaves last");
+            assertTrue(!port.evacuationRequests.get(0).worker().equals("w1"), "the busiest instance must leave last");
         }
 
         @Test
