--- a/core/src/main/java/org/lupinpaddle/core/wave/FleetSight.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/FleetStatus.java
@@ -19,10 +19,10 @@
 import java.util.Set;
 
 /** What the driver of a wave sees of the fleet beside the configuration. Times are of the driver's clock. */
-public interface FleetSight {
+public interface FleetStatus {
 
     /** Returns what a worker last said of itself. */
-    Sight of(String instance);
+    WorkerStatus statusOf(String instance);
 
     /** Returns the instances that should serve and do not, for long enough to count on it. */
     Set<String> failed();
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveOrder.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveOrder.java
@@ -27,15 +27,15 @@
     /** As wide as the budgets allow, but all of one rack before the next. */
     RACK_BY_RACK(Integer.MAX_VALUE);
 
-    private final int width;
+    private final int maxConcurrent;
 
-    WaveOrder(int width) {
-        this.width = width;
+    WaveOrder(int maxConcurrent) {
+        this.maxConcurrent = maxConcurrent;
     }
 
     /** Returns how many instances may be out at once, budgets aside. */
-    public int width() {
-        return width;
+    public int maxConcurrent() {
+        return maxConcurrent;
     }
 
     /** Returns whether an instance may start while one of another rack is out. */
--- a/core/src/main/java/org/lupinpaddle/core/wave/WavePlan.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WavePlan.java
@@ -25,11 +25,17 @@
  * @param rounds how many rounds of drain and reboot it takes
  * @param expectedMillis the expected roll-out time
  * @param moves how many instances are drained
- * @param widest the most instances out at once
+ * @param maxConcurrent the most instances out at once
  * @param reserve instances that the services' reserves hold back meanwhile
  */
 public record WavePlan(
-        List<Step> steps, List<String> blockers, int rounds, long expectedMillis, int moves, int widest, int reserve) {
+        List<Step> steps,
+        List<String> blockers,
+        int rounds,
+        long expectedMillis,
+        int moves,
+        int maxConcurrent,
+        int reserve) {
 
     /**
      * One instance of the plan.
--- a/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
@@ -48,7 +48,7 @@
     private final List<WaveTarget> waiting;
     private final Map<String, Integer> members = new TreeMap<>();
     private final List<WavePlan.Step> steps = new ArrayList<>();
-    private int widest;
+    private int maxConcurrent;
 
     private WavePlanner(FleetView view, WaveOrder order, List<WaveTarget> targets) {
         this.view = view;
@@ -59,47 +59,48 @@
 
     /** Returns the targets of a draft in their order of work: those that come in first, then those that leave. */
     public static List<WaveTarget> targets(FleetView view, WaveDraft draft) {
-        List<InstanceRecord> leavers = view.instances().values().stream()
+        List<InstanceRecord> covered = view.instances().values().stream()
                 .filter(i -> i.state() != InstanceState.RETIRED && draft.scope().covers(i))
                 .sorted(draft.order().comparator())
                 .toList();
-        Stream<WaveTarget> out = leavers.stream().map(i -> new WaveTarget(i.id(), draft.toPool()));
+        Stream<WaveTarget> outgoing = covered.stream().map(i -> new WaveTarget(i.id(), draft.toPool()));
         String spares = draft.spares();
         if (spares == null) {
-            return out.toList();
+            return outgoing.toList();
         }
-        Stream<WaveTarget> in = view.instances().values().stream()
+        Stream<WaveTarget> incoming = view.instances().values().stream()
                 .filter(i -> i.state() == InstanceState.IN_SERVICE && spares.equals(i.pool()))
                 .sorted(draft.order().comparator())
-                .limit(leavers.size())
+                .limit(covered.size())
                 .map(i -> new WaveTarget(i.id(), draft.scope().pool()));
-        return Stream.concat(in, out).toList();
+        return Stream.concat(incoming, outgoing).toList();
     }
 
     /** Returns the plan of a draft. */
     public static WavePlan plan(FleetView view, WaveDraft draft) {
         List<WaveTarget> targets = targets(view, draft);
-        List<String> blockers = new ArrayList<>(faults(view, draft, targets));
-        WavePlanner p = new WavePlanner(view, draft.order(), targets);
-        int rounds = p.run(blockers);
-        int reserve = p.touchedServices(targets).stream()
+        List<String> blockers = new ArrayList<>(findProblems(view, draft, targets));
+        WavePlanner planner = new WavePlanner(view, draft.order(), targets);
+        int rounds = planner.planRounds(blockers);
+        int reserve = planner.affectedServices(targets).stream()
                 .map(view.services()::get)
                 .mapToInt(s -> MemberReconciler.floor(view, s) - s.budget())
                 .sum();
-        return new WavePlan(p.steps, blockers, rounds, rounds * ROUND_MILLIS, targets.size(), p.widest, reserve);
+        return new WavePlan(
+                planner.steps, blockers, rounds, rounds * ROUND_MILLIS, targets.size(), planner.maxConcurrent, reserve);
     }
 
-    private static List<String> faults(FleetView view, WaveDraft draft, List<WaveTarget> targets) {
-        List<String> faults = new ArrayList<>();
+    private static List<String> findProblems(FleetView view, WaveDraft draft, List<WaveTarget> targets) {
+        List<String> problems = new ArrayList<>();
         if (targets.isEmpty()) {
-            faults.add("the scope covers no instance");
+            problems.add("the scope covers no instance");
         }
         for (String pool : Stream.of(Optional.ofNullable(draft.toPool()), Optional.ofNullable(draft.spares()))
                 .flatMap(Optional::stream)
                 .toList()) {
             PoolRecord p = view.pools().get(pool);
             if (p == null || p.retired()) {
-                faults.add("there is no pool " + pool);
+                problems.add("there is no pool " + pool);
             }
         }
         for (WaveRecord w : view.waves().values()) {
@@ -107,26 +108,26 @@
                 targets.stream()
                         .filter(t -> w.targets(t.instance()))
                         .findFirst()
-                        .ifPresent(t -> faults.add("instance " + t.instance() + " is in wave " + w.name() + ", which "
+                        .ifPresent(t -> problems.add("instance " + t.instance() + " is in wave " + w.name() + ", which "
                                 + w.operator() + " started or steered last and which has not ended"));
             }
         }
-        return faults;
+        return problems;
     }
 
-    private int run(List<String> blockers) {
+    private int planRounds(List<String> blockers) {
         int round = 0;
         int returned = 0;
         while (!waiting.isEmpty()) {
-            List<WaveTarget> now = choose(round + 1, Math.min(order.width(), Math.max(1, 2 * returned)));
-            if (now.isEmpty()) {
+            List<WaveTarget> batch = choose(round + 1, Math.min(order.maxConcurrent(), Math.max(1, 2 * returned)));
+            if (batch.isEmpty()) {
                 waiting.stream().map(this::blocker).distinct().forEach(blockers::add);
                 return round;
             }
             round++;
-            returned += now.size();
-            widest = Math.max(widest, now.size());
-            now.forEach(this::comeBack);
+            returned += batch.size();
+            maxConcurrent = Math.max(maxConcurrent, batch.size());
+            batch.forEach(this::completeStep);
         }
         return round;
     }
@@ -140,7 +141,7 @@
             String rack = i.hall() + "/" + i.rack();
             boolean rackFree = order.mixesRacks() || racks.isEmpty() || racks.contains(rack);
             String service = serviceOf(i.pool());
-            if (chosen.size() < width && rackFree && fits(service, out)) {
+            if (chosen.size() < width && rackFree && isWithinBudget(service, out)) {
                 if (service != null) {
                     out.merge(service, 1, Integer::sum);
                 }
@@ -153,7 +154,7 @@
         return chosen;
     }
 
-    private boolean fits(@Nullable String service, Map<String, Integer> out) {
+    private boolean isWithinBudget(@Nullable String service, Map<String, Integer> out) {
         if (service == null) {
             return true;
         }
@@ -173,7 +174,7 @@
                 + (t.toPool() == null ? "" : "; goes to " + t.toPool());
     }
 
-    private void comeBack(WaveTarget t) {
+    private void completeStep(WaveTarget t) {
         String to = t.toPool();
         if (to != null) {
             String from = serviceOf(instance(t).pool());
@@ -198,7 +199,7 @@
                 + s.budget() + " and its reserve " + reserve + ": none may leave";
     }
 
-    private Set<String> touchedServices(List<WaveTarget> targets) {
+    private Set<String> affectedServices(List<WaveTarget> targets) {
         Set<String> all = new TreeSet<>();
         for (WaveTarget t : targets) {
             String s = serviceOf(instance(t).pool());
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveRecord.java
@@ -48,7 +48,7 @@
     }
 
     /** Returns the wave in another state. */
-    public WaveRecord in(WaveState next, String why, String by, String newWriteId) {
-        return new WaveRecord(name, kind, scope, targets, order, next, why, by, newWriteId);
+    public WaveRecord withState(WaveState next, String newReason, String newOperator, String newWriteId) {
+        return new WaveRecord(name, kind, scope, targets, order, next, newReason, newOperator, newWriteId);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
@@ -48,44 +48,44 @@
 public final class WaveStepper {
 
     // The first instance of a wave goes alone; a wave widens only on instances that came back.
-    private static final int WIDENING = 2;
+    private static final int WIDENING_FACTOR = 2;
     // With none back the first that stays away halts the wave, afterwards the second.
-    private static final int MOST_OVERDUE = 2;
+    private static final int OVERDUE_LIMIT = 2;
 
     private final FleetView view;
     private final WaveRecord wave;
-    private final FleetSight sight;
+    private final FleetStatus status;
     private final Supplier<String> writeIds;
     private final Map<String, ServiceRecord> services = new TreeMap<>();
     private final Map<String, ShardRecord> shards = new TreeMap<>();
     private final List<WaveAction> maintenance = new ArrayList<>();
-    private final Set<String> outRacks = new HashSet<>();
+    private final Set<String> racksOut = new HashSet<>();
     private final Map<String, Integer> returning = new TreeMap<>();
     private final Map<String, Integer> floors = new HashMap<>();
-    private final Set<String> joinersSought = new HashSet<>();
+    private final Set<String> joinersChecked = new HashSet<>();
     private int out;
     private int returned;
     private long overdue;
 
-    private WaveStepper(FleetView view, WaveRecord wave, FleetSight sight, Supplier<String> writeIds) {
+    private WaveStepper(FleetView view, WaveRecord wave, FleetStatus status, Supplier<String> writeIds) {
         this.view = view;
         this.wave = wave;
-        this.sight = sight;
+        this.status = status;
         this.writeIds = writeIds;
     }
 
     /** Returns the next steps of the wave with this name; none where all waits or is settled. */
-    public static List<WaveAction> step(FleetView view, String wave, FleetSight sight, Supplier<String> writeIds) {
+    public static List<WaveAction> step(FleetView view, String wave, FleetStatus status, Supplier<String> writeIds) {
         WaveRecord record = view.waves().get(wave);
-        return record == null ? List.of() : new WaveStepper(view, record, sight, writeIds).step();
+        return record == null ? List.of() : new WaveStepper(view, record, status, writeIds).step();
     }
 
     /** Returns whether the wave has ended and holds no instance and no permit any more. */
     public static boolean isSettled(FleetView view, WaveRecord wave) {
-        return wave.state().ended() && holdsNothing(view, wave);
+        return wave.state().ended() && holdsNoInstanceOrPermit(view, wave);
     }
 
-    private static boolean holdsNothing(FleetView view, WaveRecord wave) {
+    private static boolean holdsNoInstanceOrPermit(FleetView view, WaveRecord wave) {
         boolean heldInstance = view.instances().values().stream().anyMatch(i -> i.isHeldBy(wave.name()));
         boolean heldPermit = view.services().values().stream()
                 .flatMap(s -> s.permits().values().stream())
@@ -94,7 +94,7 @@
     }
 
     private List<WaveAction> step() {
-        count();
+        countProgress();
         for (WaveTarget t : wave.targets()) {
             InstanceRecord i = view.instances().get(t.instance());
             if (i != null) {
@@ -109,9 +109,9 @@
         return all;
     }
 
-    private void count() {
+    private void countProgress() {
         overdue = wave.targets().stream()
-                .filter(t -> sight.overdue().contains(t.instance()))
+                .filter(t -> status.overdue().contains(t.instance()))
                 .count();
         for (WaveTarget t : wave.targets()) {
             InstanceRecord i = view.instances().get(t.instance());
@@ -122,7 +122,7 @@
                 returned++;
             } else if (i.isHeldBy(wave.name()) || permitOf(i).isPresent()) {
                 out++;
-                outRacks.add(rack(i));
+                racksOut.add(rack(i));
             }
         }
         view.instances().values().stream()
@@ -159,22 +159,22 @@
     private void stepInService(InstanceRecord i) {
         Optional<ServiceRecord> service = view.serviceOf(i);
         Optional<Permit> permit = permitOf(i);
-        boolean wanted = wave.state().takesOut() && !i.isDoneBy(wave.name());
+        boolean shouldLeave = wave.state().takesOut() && !i.isDoneBy(wave.name());
         service.ifPresent(this::addJoiners);
         if (permit.isPresent()) {
-            usePermit(i, permit.get(), wanted);
-        } else if (wanted && mayTakeOut(i)) {
+            usePermit(i, permit.get(), shouldLeave);
+        } else if (shouldLeave && mayTakeOut(i)) {
             takeOut(i, service);
         }
     }
 
-    private void usePermit(InstanceRecord i, Permit permit, boolean wanted) {
+    private void usePermit(InstanceRecord i, Permit permit, boolean shouldLeave) {
         if (permit.id().equals(i.spentPermit())) {
             releasePermit(i);
-        } else if (!wanted || view.serviceOf(i).filter(this::isBelowFloor).isPresent()) {
-            put(i.toBuilder().spentPermit(permit.id()).build());
-        } else if (sight.of(i.id()).reachable()) {
-            put(leaving(i));
+        } else if (!shouldLeave || view.serviceOf(i).filter(this::isBelowFloor).isPresent()) {
+            putInstance(i.toBuilder().spentPermit(permit.id()).build());
+        } else if (status.statusOf(i.id()).reachable()) {
+            putInstance(leaving(i));
         }
     }
 
@@ -182,48 +182,52 @@
         return i.toBuilder()
                 .state(InstanceState.LEAVING)
                 .wave(wave.name())
-                .incarnation(sight.of(i.id()).incarnation())
+                .incarnation(status.statusOf(i.id()).incarnation())
                 .build();
     }
 
     private boolean mayTakeOut(InstanceRecord i) {
-        int width = Math.min(wave.order().width(), Math.max(1, WIDENING * returned));
-        boolean rackFree = wave.order().mixesRacks() || outRacks.isEmpty() || outRacks.contains(rack(i));
-        return out < width && rackFree && overdue == 0 && sight.of(i.id()).reachable();
+        int width = Math.min(wave.order().maxConcurrent(), Math.max(1, WIDENING_FACTOR * returned));
+        boolean rackFree = wave.order().mixesRacks() || racksOut.isEmpty() || racksOut.contains(rack(i));
+        return out < width
+                && rackFree
+                && overdue == 0
+                && status.statusOf(i.id()).reachable();
     }
 
     private void takeOut(InstanceRecord i, Optional<ServiceRecord> service) {
         if (service.isEmpty()) {
-            put(leaving(i));
-            noteOut(i);
+            putInstance(leaving(i));
+            countAsOut(i);
             return;
         }
         ServiceRecord s = current(service.get());
         boolean counted = service.get().members().contains(i.id());
-        if (counted && s.mayRelease(i.id(), sight.failed(), floor(s))) {
+        if (counted && s.mayRelease(i.id(), status.failed(), floor(s))) {
             String id = writeIds.get();
-            Permit p = new Permit(id, i.id(), wave.name(), sight.of(i.id()).incarnation());
+            Permit p =
+                    new Permit(id, i.id(), wave.name(), status.statusOf(i.id()).incarnation());
             services.put(s.name(), s.withPermit(p, id));
-            noteOut(i);
+            countAsOut(i);
         }
     }
 
-    private void noteOut(InstanceRecord i) {
+    private void countAsOut(InstanceRecord i) {
         out++;
-        outRacks.add(rack(i));
+        racksOut.add(rack(i));
     }
 
     private void stepLeaving(WaveTarget t, InstanceRecord i) {
-        Sight s = sight.of(i.id());
+        WorkerStatus s = status.statusOf(i.id());
         Optional<ServiceRecord> service = view.serviceOf(i);
         boolean member = service.filter(x -> x.members().contains(i.id())).isPresent();
         boolean needed = member && service.filter(this::isBelowFloor).isPresent();
         if (!wave.state().takesOut() || needed) {
-            put(i.toBuilder().state(InstanceState.RETURNING).build());
+            putInstance(i.toBuilder().state(InstanceState.RETURNING).build());
             service.ifPresent(x -> returning.merge(x.name(), 1, Integer::sum));
         } else if (s.reachable() && s.incarnation() != i.incarnation()) {
             // Restarted by itself while it was leaving: what it was told is forgotten.
-            put(i.toBuilder().incarnation(s.incarnation()).build());
+            putInstance(i.toBuilder().incarnation(s.incarnation()).build());
         } else if (!s.leaving()) {
             maintain(WaveAction.Step.DRAIN, i);
         } else if (isIdle(i)) {
@@ -232,26 +236,26 @@
     }
 
     private boolean isIdle(InstanceRecord i) {
-        OptionalLong confirmed = sight.confirmedAt(fence(i));
-        return confirmed.isPresent() && sight.of(i.id()).isIdleSince(confirmed.getAsLong());
+        OptionalLong confirmed = status.confirmedAt(fence(i));
+        return confirmed.isPresent() && status.statusOf(i.id()).isDrainedSince(confirmed.getAsLong());
     }
 
     private void leaveServiceOrReboot(WaveTarget t, InstanceRecord i, Optional<ServiceRecord> service, boolean member) {
         if (t.toPool() != null && member) {
             service.map(this::current).ifPresent(s -> services.put(s.name(), s.withoutMember(i.id(), writeIds.get())));
         } else {
-            put(i.toBuilder().state(InstanceState.REBOOTING).build());
+            putInstance(i.toBuilder().state(InstanceState.REBOOTING).build());
         }
     }
 
     private void stepRebooting(WaveTarget t, InstanceRecord i) {
-        Sight s = sight.of(i.id());
+        WorkerStatus s = status.statusOf(i.id());
         boolean restarted = s.reachable() && s.incarnation() > i.incarnation();
         if (restarted && s.leaving()) {
             maintenance.add(new WaveAction.Maintain(WaveAction.Step.UNDRAIN, i.id(), s.incarnation(), fence(i)));
         } else if (restarted) {
             String pool = t.toPool() == null ? i.pool() : t.toPool();
-            put(backInService(i, s).pool(pool).doneBy(wave.name()).build());
+            putInstance(backInService(i, s).pool(pool).doneBy(wave.name()).build());
         } else if (s.running() == 0) {
             maintain(WaveAction.Step.REBOOT, i);
         }
@@ -260,16 +264,16 @@
     // The undrain comes first in any case: its fence keeps off a drain that is still on its way, sent by a
     // driver that was paused. Only a look after it says that the worker takes work and will go on to.
     private void stepReturning(InstanceRecord i) {
-        Sight s = sight.of(i.id());
-        OptionalLong undrained = sight.undrainedAt(i.id(), fence(i));
+        WorkerStatus s = status.statusOf(i.id());
+        OptionalLong undrained = status.undrainedAt(i.id(), fence(i));
         if (undrained.isPresent() && s.reachable() && !s.leaving() && s.probedAt() > undrained.getAsLong()) {
-            put(backInService(i, s).build());
+            putInstance(backInService(i, s).build());
         } else if (s.reachable()) {
             maintenance.add(new WaveAction.Maintain(WaveAction.Step.UNDRAIN, i.id(), s.incarnation(), fence(i)));
         }
     }
 
-    private InstanceRecord.Builder backInService(InstanceRecord i, Sight s) {
+    private InstanceRecord.Builder backInService(InstanceRecord i, WorkerStatus s) {
         String spent = permitOf(i).map(Permit::id).orElse(i.spentPermit());
         return i.toBuilder()
                 .state(InstanceState.IN_SERVICE)
@@ -299,7 +303,7 @@
     }
 
     private void addJoiners(ServiceRecord service) {
-        if (joinersSought.add(service.name())) {
+        if (joinersChecked.add(service.name())) {
             MemberReconciler.withJoiners(view, service, writeIds.get()).ifPresent(s -> services.put(s.name(), s));
         }
     }
@@ -314,10 +318,10 @@
 
     // Those on their way back count as back: else every look would put back one more.
     private boolean isBelowFloor(ServiceRecord s) {
-        return s.available(sight.failed()) + returning.getOrDefault(s.name(), 0) < floor(s);
+        return s.available(status.failed()) + returning.getOrDefault(s.name(), 0) < floor(s);
     }
 
-    private void put(InstanceRecord next) {
+    private void putInstance(InstanceRecord next) {
         String key = StoreKeys.shardOf(next.id());
         ShardRecord shard = shards.getOrDefault(key, view.shardOf(next.id()));
         shards.put(key, shard.with(next, writeIds.get()));
@@ -327,21 +331,21 @@
         if (wave.state() != WaveState.RUNNING) {
             return Optional.empty();
         }
-        if (overdue >= (returned == 0 ? 1 : MOST_OVERDUE)) {
-            return Optional.of(wave.in(
+        if (overdue >= (returned == 0 ? 1 : OVERDUE_LIMIT)) {
+            return Optional.of(wave.withState(
                     WaveState.HALTED,
                     overdue + " instances have not come back from their reboot",
                     "lupinpaddle",
                     writeIds.get()));
         }
         if (isDone() && services.isEmpty() && shards.isEmpty()) {
-            return Optional.of(wave.in(WaveState.DONE, "every instance is done", "lupinpaddle", writeIds.get()));
+            return Optional.of(wave.withState(WaveState.DONE, "every instance is done", "lupinpaddle", writeIds.get()));
         }
         return Optional.empty();
     }
 
     private boolean isDone() {
-        return holdsNothing(view, wave)
+        return holdsNoInstanceOrPermit(view, wave)
                 && wave.targets().stream()
                         .map(t -> view.instances().get(t.instance()))
                         .allMatch(i -> i == null || i.state() == InstanceState.RETIRED || i.isDoneBy(wave.name()));
--- a/core/src/main/java/org/lupinpaddle/core/wave/Sight.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WorkerStatus.java
@@ -24,13 +24,13 @@
  * @param running how many requests it runs
  * @param probedAt when the probe was sent, in milliseconds of the driver's clock
  */
-public record Sight(long incarnation, boolean reachable, boolean leaving, int running, long probedAt) {
+public record WorkerStatus(long incarnation, boolean reachable, boolean leaving, int running, long probedAt) {
 
     /** A worker that was never seen. */
-    public static final Sight NONE = new Sight(0, false, false, 0, Long.MIN_VALUE);
+    public static final WorkerStatus NONE = new WorkerStatus(0, false, false, 0, Long.MIN_VALUE);
 
-    /** Returns whether the worker is idle and will stay so, as seen after {@code time}. */
-    public boolean isIdleSince(long time) {
-        return reachable && leaving && running == 0 && probedAt > time;
+    /** Returns whether the worker is idle and will stay so, as seen after {@code minProbeMillis}. */
+    public boolean isDrainedSince(long minProbeMillis) {
+        return reachable && leaving && running == 0 && probedAt > minProbeMillis;
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeDriver.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeDriver.java
@@ -25,47 +25,49 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /** One driver with its own view of the configuration, its own looks at workers, and steps it has decided on. */
-final class FakeDriver implements FleetSight {
+final class FakeDriver implements FleetStatus {
 
     final FleetView view = new FleetView();
-    final List<WaveAction> decided = new ArrayList<>();
-    private final Map<String, Sight> sights = new TreeMap<>();
+    final List<WaveAction> pendingActions = new ArrayList<>();
+    private final Map<String, WorkerStatus> statuses = new TreeMap<>();
     private final TreeMap<Long, Long> confirmed = new TreeMap<>();
-    private final Map<String, Long> undrained = new HashMap<>();
+    private final Map<String, Long> undrainedAt = new HashMap<>();
     private Set<String> failed = Set.of();
     private Set<String> overdue = Set.of();
 
-    void look(FakeWorker w, long now) {
-        Sight old = sights.getOrDefault(w.id, Sight.NONE);
-        sights.put(w.id, w.up ? w.look(now) : new Sight(old.incarnation(), false, old.leaving(), old.running(), now));
+    void probe(FakeWorker w, long now) {
+        WorkerStatus old = statuses.getOrDefault(w.id, WorkerStatus.NONE);
+        statuses.put(
+                w.id,
+                w.up ? w.status(now) : new WorkerStatus(old.incarnation(), false, old.leaving(), old.running(), now));
     }
 
-    void noteConfirmed(long revision, long now) {
+    void setConfirmed(long revision, long now) {
         if (confirmed.isEmpty() || revision > confirmed.lastKey()) {
             confirmed.put(revision, now);
         }
     }
 
-    void noteUndrained(WaveAction.Maintain m, long now) {
-        undrained.put(m.instance() + "@" + m.fence(), now);
+    void setUndrained(WaveAction.Maintain m, long now) {
+        undrainedAt.put(m.instance() + "@" + m.fence(), now);
     }
 
-    void noteFailed(Set<String> now, Set<String> late) {
-        failed = now;
-        overdue = late;
+    void setFailed(Set<String> newFailed, Set<String> newOverdue) {
+        failed = newFailed;
+        overdue = newOverdue;
     }
 
     /** Forgets all that is not in the store, as a new process does. */
     void restart() {
-        decided.clear();
-        sights.clear();
+        pendingActions.clear();
+        statuses.clear();
         confirmed.clear();
-        undrained.clear();
+        undrainedAt.clear();
     }
 
     @Override
-    public Sight of(String instance) {
-        return sights.getOrDefault(instance, Sight.NONE);
+    public WorkerStatus statusOf(String instance) {
+        return statuses.getOrDefault(instance, WorkerStatus.NONE);
     }
 
     @Override
@@ -86,7 +88,7 @@
 
     @Override
     public OptionalLong undrainedAt(String instance, long fence) {
-        Long at = undrained.get(instance + "@" + fence);
+        Long at = undrainedAt.get(instance + "@" + fence);
         return at == null ? OptionalLong.empty() : OptionalLong.of(at);
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeStore.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeStore.java
@@ -30,16 +30,16 @@
     private long revision = 1;
     private long writes;
 
-    boolean swap(String key, Object value, long expected) {
+    boolean compareAndSwap(String key, Object value, long expected) {
         if (revisionOf(key) != expected) {
             return false;
         }
-        force(key, value);
+        put(key, value);
         return true;
     }
 
     /** Writes without comparing, as no part of the product does: to see that a test would notice. */
-    void force(String key, Object value) {
+    void put(String key, Object value) {
         revision++;
         writes++;
         records.put(key, new StoredRecord(key, RecordCodec.write(value), revision));
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeWorker.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeWorker.java
@@ -56,7 +56,7 @@
         running = 0;
     }
 
-    Sight look(long now) {
-        return new Sight(incarnation, up, leaving, running, now);
+    WorkerStatus status(long now) {
+        return new WorkerStatus(incarnation, up, leaving, running, now);
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
@@ -72,7 +72,7 @@
         private final SplittableRandom random;
         private final Deployment deployment;
         private int moves;
-        private int worst = Integer.MAX_VALUE;
+        private int lowestAboveBudget = Integer.MAX_VALUE;
         private long outSeconds;
         private int ids;
 
@@ -88,18 +88,18 @@
         private void fleet(Reserve reserve, boolean migration) {
             for (int s = 0; s < SERVICES; s++) {
                 String name = "s" + s;
-                store.force(StoreKeys.service(name), ServiceRecord.create(name, BUDGET, reserve, "m", "m"));
-                store.force(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "m", "m"));
+                store.put(StoreKeys.service(name), ServiceRecord.create(name, BUDGET, reserve, "m", "m"));
+                store.put(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "m", "m"));
                 for (int w = 0; w < WORKERS; w++) {
                     // Four halls; four workers to a rack, so two of a service share one.
                     instance(name + "w" + w, name, "hall" + w % 4, "rack" + (s * WORKERS + w / 4) / 4 % 3);
                 }
             }
             if (migration) {
-                store.force(StoreKeys.pool("spare-a"), new PoolRecord("spare-a", null, "a", false, "m", "m"));
+                store.put(StoreKeys.pool("spare-a"), new PoolRecord("spare-a", null, "a", false, "m", "m"));
                 for (int s = 0; s < SERVICES; s++) {
                     String spares = "spare" + s;
-                    store.force(StoreKeys.pool(spares), new PoolRecord(spares, null, "b", false, "m", "m"));
+                    store.put(StoreKeys.pool(spares), new PoolRecord(spares, null, "b", false, "m", "m"));
                     for (int w = 0; w < WORKERS; w++) {
                         instance(spares + "w" + w, spares, "far" + w % 4, "rack" + s);
                     }
@@ -115,10 +115,10 @@
                     .place(hall, rack)
                     .address(id)
                     .build();
-            store.force(StoreKeys.shardOf(id), v.shardOf(id).with(i, "m"));
+            store.put(StoreKeys.shardOf(id), v.shardOf(id).with(i, "m"));
             ServiceRecord s = v.services().get(pool);
             if (s != null) {
-                store.force(StoreKeys.service(pool), s.withMember(id, "m"));
+                store.put(StoreKeys.service(pool), s.withMember(id, "m"));
             }
         }
 
@@ -135,7 +135,7 @@
                     .filter(i -> !i.pool().startsWith("spare"))
                     .forEach(i -> targets.add(new WaveTarget(i.id(), migration ? "spare-a" : null)));
             WaveScope scope = new WaveScope(null, null, null);
-            store.force(
+            store.put(
                     StoreKeys.wave("w"),
                     new WaveRecord("w", WaveKind.REBOOT, scope, targets, order, WaveState.RUNNING, "", "m", "m"));
         }
@@ -146,8 +146,8 @@
                 if (t == failAt) {
                     fail(failures, t);
                 }
-                live(t);
-                look(t);
+                advanceWorkers(t);
+                stepDriver(t);
                 if (Objects.requireNonNull(driver.view.waves().get("w")).state() == WaveState.DONE) {
                     return t;
                 }
@@ -166,7 +166,7 @@
                     });
         }
 
-        private void live(int t) {
+        private void advanceWorkers(int t) {
             for (FakeWorker w : workers.values()) {
                 if (w.leaving && t >= idleAt.getOrDefault(w.id, 0)) {
                     w.running = 0;
@@ -179,24 +179,24 @@
             }
         }
 
-        private void look(int t) {
+        private void stepDriver(int t) {
             store.sync(driver.view);
-            driver.noteConfirmed(driver.view.contentRevision(), t - 1);
-            workers.values().forEach(w -> driver.look(w, t));
-            driver.noteFailed(Set.copyOf(failed), Set.of());
+            driver.setConfirmed(driver.view.contentRevision(), t - 1);
+            workers.values().forEach(w -> driver.probe(w, t));
+            driver.setFailed(Set.copyOf(failed), Set.of());
             for (WaveAction a : WaveStepper.step(driver.view, "w", driver, this::id)) {
-                carryOut(a, t);
+                perform(a, t);
             }
-            count();
+            recordMetrics();
         }
 
-        private void carryOut(WaveAction a, int t) {
+        private void perform(WaveAction a, int t) {
             if (a instanceof WaveAction.PutService p) {
-                store.swap(StoreKeys.service(p.next().name()), p.next(), p.expectedRevision());
+                store.compareAndSwap(StoreKeys.service(p.next().name()), p.next(), p.expectedRevision());
             } else if (a instanceof WaveAction.PutShard p) {
-                store.swap(p.key(), p.next(), p.expectedRevision());
+                store.compareAndSwap(p.key(), p.next(), p.expectedRevision());
             } else if (a instanceof WaveAction.PutWave p) {
-                store.swap(StoreKeys.wave(p.next().name()), p.next(), p.expectedRevision());
+                store.compareAndSwap(StoreKeys.wave(p.next().name()), p.next(), p.expectedRevision());
             } else if (a instanceof WaveAction.Maintain m) {
                 maintain(m, t);
             }
@@ -217,15 +217,15 @@
                     }
                 }
                 case REBOOT -> backAt.put(w.id, t + REBOOT_SECONDS);
-                case UNDRAIN -> driver.noteUndrained(m, t);
+                case UNDRAIN -> driver.setUndrained(m, t);
             }
         }
 
-        private void count() {
+        private void recordMetrics() {
             FleetView v = driver.view;
             for (ServiceRecord s : v.services().values()) {
                 int available = s.available(failed);
-                worst = Math.min(worst, available - s.budget());
+                lowestAboveBudget = Math.min(lowestAboveBudget, available - s.budget());
             }
             outSeconds += v.instances().values().stream()
                     .filter(i ->
@@ -255,15 +255,15 @@
             for (boolean migration : new boolean[] {false, true}) {
                 for (WaveOrder o : WaveOrder.values()) {
                     for (Reserve r : Reserve.values()) {
-                        row(seeds, d, migration, o, r, 0);
-                        row(seeds, d, migration, o, r, 2);
+                        printRow(seeds, d, migration, o, r, 0);
+                        printRow(seeds, d, migration, o, r, 2);
                     }
                 }
             }
         }
     }
 
-    private static void row(
+    private static void printRow(
             long[] seeds, Deployment d, boolean migration, WaveOrder order, Reserve reserve, int failures) {
         double time = 0;
         double moves = 0;
@@ -286,7 +286,7 @@
             moves += r.moves;
             out += (double) r.outSeconds / t;
             writes += r.store.writes() - before;
-            worst = Math.min(worst, r.worst);
+            worst = Math.min(worst, r.lowestAboveBudget);
         }
         int n = seeds.length;
         System.out.printf(
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetWorld.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetSimulation.java
@@ -38,10 +38,10 @@
  * Two services, their workers, a few entries and two drivers that all race each other over one store. The
  * order of everything comes from a seed. A rule can be switched off, to see that the check would notice.
  */
-final class FleetWorld {
+final class FleetSimulation {
 
     /** What may go wrong in a run. */
-    enum Trouble {
+    enum Fault {
         /** Drivers are paused between deciding and acting, and their views lag. */
         PAUSED_DRIVERS,
         /** Drivers are replaced by new processes. */
@@ -55,7 +55,7 @@
     }
 
     /** A rule of the product, switched off. */
-    enum Off {
+    enum DisabledRule {
         COMPARE_AND_SWAP,
         SPENT_PERMITS,
         FENCE,
@@ -69,21 +69,21 @@
     private final List<FakeDriver> drivers = List.of(new FakeDriver(), new FakeDriver());
     private final List<FleetView> entries = new ArrayList<>();
     private final Random random;
-    private final Set<Trouble> troubles;
-    private final @Nullable Off off;
-    private final FleetView truth = new FleetView();
-    private final Map<String, Integer> firstBudgets = new TreeMap<>();
-    private final Set<String> unplanned = new HashSet<>();
+    private final Set<Fault> faults;
+    private final @Nullable DisabledRule disabledRule;
+    private final FleetView currentView = new FleetView();
+    private final Map<String, Integer> initialBudgets = new TreeMap<>();
+    private final Set<String> failedWorkers = new HashSet<>();
     private long now;
     private int writeIds;
-    private int cutOff;
-    private int acted;
-    private int worstReboots;
+    private int interruptedRequests;
+    private int actionCount;
+    private int maxConcurrentReboots;
 
-    FleetWorld(long seed, Set<Trouble> troubles, @Nullable Off off) {
+    FleetSimulation(long seed, Set<Fault> faults, @Nullable DisabledRule disabledRule) {
         this.random = new Random(seed);
-        this.troubles = troubles.isEmpty() ? EnumSet.noneOf(Trouble.class) : EnumSet.copyOf(troubles);
-        this.off = off;
+        this.faults = faults.isEmpty() ? EnumSet.noneOf(Fault.class) : EnumSet.copyOf(faults);
+        this.disabledRule = disabledRule;
         for (int i = 0; i < ENTRIES; i++) {
             entries.add(new FleetView());
         }
@@ -91,14 +91,14 @@
 
     /** Makes a service with a pool of its own. */
     void service(String name, int budget, Reserve reserve) {
-        firstBudgets.put(name, budget);
-        store.force(StoreKeys.service(name), ServiceRecord.create(name, budget, reserve, "test", "w0"));
-        store.force(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "test", "w0"));
+        initialBudgets.put(name, budget);
+        store.put(StoreKeys.service(name), ServiceRecord.create(name, budget, reserve, "test", "w0"));
+        store.put(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "test", "w0"));
     }
 
     /** Makes a pool of spare instances. */
     void sparePool(String name) {
-        store.force(StoreKeys.pool(name), new PoolRecord(name, null, "b", false, "test", "w0"));
+        store.put(StoreKeys.pool(name), new PoolRecord(name, null, "b", false, "test", "w0"));
     }
 
     /** Adds an instance; it is a member of its service at once. */
@@ -111,40 +111,40 @@
                 .address(id)
                 .size(8, 1_000)
                 .build();
-        store.force(StoreKeys.shardOf(id), v.shardOf(id).with(i, "w0"));
+        store.put(StoreKeys.shardOf(id), v.shardOf(id).with(i, "w0"));
         ServiceRecord s = v.services().get(pool);
         if (s != null) {
-            store.force(StoreKeys.service(pool), s.withMember(id, "w0"));
+            store.put(StoreKeys.service(pool), s.withMember(id, "w0"));
         }
     }
 
     void wave(WaveRecord w) {
-        store.force(StoreKeys.wave(w.name()), w);
+        store.put(StoreKeys.wave(w.name()), w);
     }
 
     /** Lets everything happen in some order for some steps; fails at the first broken promise. */
     void run(int steps) {
-        check();
+        checkInvariants();
         for (int i = 0; i < steps; i++) {
             now++;
-            oneStep();
-            check();
+            randomStep();
+            checkInvariants();
         }
     }
 
     /** Lets everything happen until drivers have acted so often, then replaces all drivers by new processes. */
     void killDriversAfter(int actions) {
-        while (acted < actions && !isSettled("full")) {
+        while (actionCount < actions && !isSettled("full")) {
             now++;
-            oneStep();
-            check();
+            randomStep();
+            checkInvariants();
         }
         drivers.forEach(FakeDriver::restart);
     }
 
     /** Returns how often drivers have acted. */
-    int acted() {
-        return acted;
+    int actionCount() {
+        return actionCount;
     }
 
     private boolean isSettled(String wave) {
@@ -154,36 +154,36 @@
 
     /** Ends all trouble and runs on until the wave has ended, or fails after so many steps. */
     void settle(String wave, int steps) {
-        troubles.clear();
+        faults.clear();
         workers.values().stream().filter(w -> !w.up && !w.neverReturns).forEach(FakeWorker::restart);
-        unplanned.clear();
+        failedWorkers.clear();
         WaveRecord w = Objects.requireNonNull(store.view().waves().get(wave));
         if (w.state() == WaveState.PAUSED || w.state() == WaveState.HALTED) {
-            put(w.in(WaveState.RUNNING, "resumed", "test", id()));
+            put(w.withState(WaveState.RUNNING, "resumed", "test", id()));
         }
-        firstBudgets.forEach(this::setBudget);
+        initialBudgets.forEach(this::setBudget);
         for (int i = 0; i < steps; i++) {
             now++;
-            oneStep();
-            check();
+            randomStep();
+            checkInvariants();
             if (WaveStepper.isSettled(
-                    truth, Objects.requireNonNull(truth.waves().get(wave)))) {
+                    currentView, Objects.requireNonNull(currentView.waves().get(wave)))) {
                 return;
             }
         }
         throw new AssertionError("the wave has not ended: " + describe());
     }
 
-    private void oneStep() {
+    private void randomStep() {
         switch (random.nextInt(12)) {
             case 0, 1, 2 -> decide(pick(drivers));
             case 3, 4, 5 -> act(pick(drivers));
             case 6 -> store.sync(pick(entries));
             case 7 -> sendWork(pick(entries));
             case 8 -> endWork();
-            case 9 -> bringBack();
-            case 10 -> trouble();
-            default -> look(pick(drivers));
+            case 9 -> restartWorker();
+            case 10 -> injectFault();
+            default -> probeWorkers(pick(drivers));
         }
     }
 
@@ -195,35 +195,35 @@
         return pick(List.copyOf(workers.values()));
     }
 
-    private void look(FakeDriver d) {
-        workers.values().forEach(w -> d.look(w, now));
-        d.noteFailed(Set.copyOf(unplanned), Set.of());
+    private void probeWorkers(FakeDriver d) {
+        workers.values().forEach(w -> d.probe(w, now));
+        d.setFailed(Set.copyOf(failedWorkers), Set.of());
     }
 
     private void decide(FakeDriver d) {
-        boolean lags = troubles.contains(Trouble.PAUSED_DRIVERS) && random.nextInt(3) == 0;
-        if (!lags) {
+        boolean viewLags = faults.contains(Fault.PAUSED_DRIVERS) && random.nextInt(3) == 0;
+        if (!viewLags) {
             store.sync(d.view);
         }
-        long least =
+        long minRevision =
                 entries.stream().mapToLong(FleetView::contentRevision).min().orElse(0);
-        d.noteConfirmed(off == Off.CONFIRMATION_AND_IDLE ? Long.MAX_VALUE : least, now);
-        boolean keepsOld = troubles.contains(Trouble.PAUSED_DRIVERS) && random.nextInt(2) == 0;
-        if (!keepsOld) {
-            d.decided.clear();
+        d.setConfirmed(disabledRule == DisabledRule.CONFIRMATION_AND_IDLE ? Long.MAX_VALUE : minRevision, now);
+        boolean keepsOldActions = faults.contains(Fault.PAUSED_DRIVERS) && random.nextInt(2) == 0;
+        if (!keepsOldActions) {
+            d.pendingActions.clear();
         }
         for (String wave : List.copyOf(d.view.waves().keySet())) {
-            d.decided.addAll(WaveStepper.step(d.view, wave, d, this::id));
+            d.pendingActions.addAll(WaveStepper.step(d.view, wave, d, this::id));
         }
     }
 
     private void act(FakeDriver d) {
-        if (d.decided.isEmpty()) {
+        if (d.pendingActions.isEmpty()) {
             return;
         }
-        acted++;
-        WaveAction a = d.decided.remove(random.nextInt(d.decided.size()));
-        if (troubles.contains(Trouble.LOST_WRITES) && random.nextInt(3) == 0) {
+        actionCount++;
+        WaveAction a = d.pendingActions.remove(random.nextInt(d.pendingActions.size()));
+        if (faults.contains(Fault.LOST_WRITES) && random.nextInt(3) == 0) {
             return;
         }
         if (a instanceof WaveAction.PutService p) {
@@ -238,16 +238,16 @@
     }
 
     private void swap(String key, Object value, long expected) {
-        if (off == Off.COMPARE_AND_SWAP) {
-            store.force(key, value);
+        if (disabledRule == DisabledRule.COMPARE_AND_SWAP) {
+            store.put(key, value);
         } else {
-            store.swap(key, value, expected);
+            store.compareAndSwap(key, value, expected);
         }
     }
 
     // With the rule off a permit that is not wanted is struck off in one step, its instance not asked.
     private void putShard(FakeDriver d, WaveAction.PutShard p) {
-        if (off == Off.SPENT_PERMITS) {
+        if (disabledRule == DisabledRule.SPENT_PERMITS) {
             for (InstanceRecord i : p.next().instances().values()) {
                 ServiceRecord s = d.view.serviceOf(i).orElse(null);
                 Permit permit = s == null ? null : s.permits().get(i.id());
@@ -266,14 +266,14 @@
 
     private void maintain(FakeDriver d, WaveAction.Maintain m) {
         FakeWorker w = Objects.requireNonNull(workers.get(m.instance()));
-        long fence = off == Off.FENCE ? Long.MAX_VALUE : m.fence();
+        long fence = disabledRule == DisabledRule.FENCE ? Long.MAX_VALUE : m.fence();
         int running = w.running;
         boolean accepted = w.maintain(new WaveAction.Maintain(m.step(), m.instance(), m.incarnation(), fence));
         if (accepted && m.step() == WaveAction.Step.REBOOT) {
-            cutOff += running;
+            interruptedRequests += running;
             w.running = 0;
         } else if (accepted && m.step() == WaveAction.Step.UNDRAIN) {
-            d.noteUndrained(m, now);
+            d.setUndrained(m, now);
         }
     }
 
@@ -281,7 +281,7 @@
         FakeWorker w = pickWorker();
         InstanceRecord i = entry.instances().get(w.id);
         // With the rule off the worker does not refuse either: only the entries' confirmation is left.
-        boolean refuses = w.leaving && off != Off.CONFIRMATION_AND_IDLE;
+        boolean refuses = w.leaving && disabledRule != DisabledRule.CONFIRMATION_AND_IDLE;
         if (i != null && i.state().takesWork() && w.up && !refuses && w.running < 8) {
             w.running++;
         }
@@ -292,44 +292,44 @@
         w.running = Math.max(0, w.running - 1);
     }
 
-    private void bringBack() {
+    private void restartWorker() {
         FakeWorker w = pickWorker();
-        if (!w.up && !w.neverReturns && (w.rebooting || !troubles.contains(Trouble.FAILING_WORKERS))) {
+        if (!w.up && !w.neverReturns && (w.rebooting || !faults.contains(Fault.FAILING_WORKERS))) {
             w.restart();
-            unplanned.remove(w.id);
+            failedWorkers.remove(w.id);
         }
     }
 
-    private void trouble() {
-        if (troubles.contains(Trouble.KILLED_DRIVERS) && random.nextInt(4) == 0) {
+    private void injectFault() {
+        if (faults.contains(Fault.KILLED_DRIVERS) && random.nextInt(4) == 0) {
             pick(drivers).restart();
         }
-        if (troubles.contains(Trouble.FAILING_WORKERS)) {
+        if (faults.contains(Fault.FAILING_WORKERS)) {
             failOrRecover();
         }
-        if (troubles.contains(Trouble.BUSY_OPERATORS)) {
-            operate();
+        if (faults.contains(Fault.BUSY_OPERATORS)) {
+            runOperatorCommand();
         }
     }
 
     private void failOrRecover() {
         FakeWorker w = pickWorker();
-        if (!w.up && unplanned.contains(w.id)) {
+        if (!w.up && failedWorkers.contains(w.id)) {
             w.restart();
-            unplanned.remove(w.id);
+            failedWorkers.remove(w.id);
         } else if (w.up && random.nextInt(4) == 0) {
             w.up = false;
             w.running = 0;
-            unplanned.add(w.id);
+            failedWorkers.add(w.id);
         }
     }
 
-    private void operate() {
-        FleetView v = truth;
+    private void runOperatorCommand() {
+        FleetView v = currentView;
         WaveRecord wave = pick(List.copyOf(v.waves().values()));
         if (random.nextInt(3) == 0 && !wave.state().ended()) {
             WaveState next = wave.state() == WaveState.RUNNING ? WaveState.PAUSED : WaveState.RUNNING;
-            put(wave.in(next, "test", "test", id()));
+            put(wave.withState(next, "test", "test", id()));
         } else {
             ServiceRecord s = pick(List.copyOf(v.services().values()));
             int budget = random.nextInt(s.members().size() + 1);
@@ -342,23 +342,23 @@
     private void setBudget(String service, int budget) {
         ServiceRecord s = Objects.requireNonNull(store.view().services().get(service));
         String key = StoreKeys.service(service);
-        store.swap(
+        store.compareAndSwap(
                 key,
                 s.withBudget(Math.min(budget, s.available(Set.of())), s.reserve(), "test", id()),
                 store.revisionOf(key));
     }
 
     private void put(WaveRecord w) {
-        store.swap(StoreKeys.wave(w.name()), w, store.revisionOf(StoreKeys.wave(w.name())));
+        store.compareAndSwap(StoreKeys.wave(w.name()), w, store.revisionOf(StoreKeys.wave(w.name())));
     }
 
     private String id() {
         return "w" + ++writeIds;
     }
 
-    private void check() {
-        store.sync(truth);
-        FleetView v = truth;
+    private void checkInvariants() {
+        store.sync(currentView);
+        FleetView v = currentView;
         for (ServiceRecord s : v.services().values()) {
             // Counted is what serves unless it failed by itself: a failure is not of the system's doing.
             long serving = v.instancesOf(s.name()).stream()
@@ -369,7 +369,7 @@
                 throw new AssertionError("below budget, " + serving + " serve: " + describe());
             }
         }
-        if (cutOff > 0) {
+        if (interruptedRequests > 0) {
             throw new AssertionError("a reboot cut off work: " + describe());
         }
         long inPools = v.instances().values().stream()
@@ -378,12 +378,12 @@
         if (inPools != workers.size()) {
             throw new AssertionError("an instance is in no pool: " + describe());
         }
-        long away = workers.values().stream().filter(w -> w.rebooting).count();
-        worstReboots = Math.max(worstReboots, (int) away);
+        long rebooting = workers.values().stream().filter(w -> w.rebooting).count();
+        maxConcurrentReboots = Math.max(maxConcurrentReboots, (int) rebooting);
     }
 
-    int worstReboots() {
-        return worstReboots;
+    int maxConcurrentReboots() {
+        return maxConcurrentReboots;
     }
 
     private String describe() {
--- a/core/src/test/java/org/lupinpaddle/core/wave/LookExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/StepTimingExperiment.java
@@ -28,31 +28,31 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /** Times one look of a wave's driver over a whole fleet, at three sizes, in one run. */
-public final class LookExperiment {
+public final class StepTimingExperiment {
 
-    private static final int POOL = 8;
-    private static final int LOOKS = 300;
+    private static final int POOL_SIZE = 8;
+    private static final int STEPS = 300;
 
-    private LookExperiment() {}
+    private StepTimingExperiment() {}
 
     /** Prints the table. */
     public static void main(String[] args) {
         System.out.println(
-                "| instances in the wave | pools | ms a look, mean of " + LOOKS + " | largest shard, bytes |");
+                "| instances in the wave | pools | ms a look, mean of " + STEPS + " | largest shard, bytes |");
         System.out.println("|---|---|---|---|");
         for (int size : new int[] {100, 400, 1_100}) {
-            row(size);
+            printRow(size);
         }
     }
 
-    private static void row(int size) {
+    private static void printRow(int size) {
         FakeStore store = new FakeStore();
         List<WaveTarget> targets = new ArrayList<>();
         TreeMap<String, ShardRecord> shards = new TreeMap<>();
         TreeMap<String, ServiceRecord> services = new TreeMap<>();
         FakeDriver driver = new FakeDriver();
         for (int i = 0; i < size; i++) {
-            String pool = "pool" + i / POOL;
+            String pool = "pool" + i / POOL_SIZE;
             String id = "instance" + i;
             InstanceRecord r = InstanceRecord.builder(id)
                     .pool(pool)
@@ -64,21 +64,21 @@
             ServiceRecord s = services.getOrDefault(pool, ServiceRecord.create(pool, 6, Reserve.INSTANCE, "t", "w"));
             services.put(pool, s.withMember(id, "w"));
             targets.add(new WaveTarget(id, null));
-            driver.look(new FakeWorker(id), 1);
+            driver.probe(new FakeWorker(id), 1);
         }
-        shards.forEach(store::force);
+        shards.forEach(store::put);
         services.forEach((name, s) -> {
-            store.force(StoreKeys.service(name), s);
-            store.force(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "t", "w"));
+            store.put(StoreKeys.service(name), s);
+            store.put(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "t", "w"));
         });
         WaveScope all = new WaveScope(null, "north", null);
-        store.force(
+        store.put(
                 StoreKeys.wave("w"),
                 new WaveRecord("w", WaveKind.REBOOT, all, targets, WaveOrder.WIDE, WaveState.RUNNING, "", "t", "w"));
         FleetView view = store.view();
         int[] ids = {0};
-        time(view, driver, ids);
-        double millis = time(view, driver, ids);
+        meanMillis(view, driver, ids);
+        double millis = meanMillis(view, driver, ids);
         int largest = shards.keySet().stream()
                 .mapToInt(k -> view.text(k).orElse("").length())
                 .max()
@@ -86,11 +86,11 @@
         System.out.printf(Locale.ROOT, "| %d | %d | %.3f | %d |%n", size, services.size(), millis, largest);
     }
 
-    private static double time(FleetView view, FakeDriver driver, int[] ids) {
+    private static double meanMillis(FleetView view, FakeDriver driver, int[] ids) {
         long start = System.nanoTime();
-        for (int i = 0; i < LOOKS; i++) {
+        for (int i = 0; i < STEPS; i++) {
             WaveStepper.step(view, "w", driver, () -> "w" + ++ids[0]);
         }
-        return (System.nanoTime() - start) / 1e6 / LOOKS;
+        return (System.nanoTime() - start) / 1e6 / STEPS;
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/wave/WaveStepperProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/WaveStepperProperties.java
@@ -31,8 +31,8 @@
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.service.Reserve;
 import org.lupinpaddle.core.view.FleetView;
-import org.lupinpaddle.core.wave.FleetWorld.Off;
-import org.lupinpaddle.core.wave.FleetWorld.Trouble;
+import org.lupinpaddle.core.wave.FleetSimulation.DisabledRule;
+import org.lupinpaddle.core.wave.FleetSimulation.Fault;
 
 /** Waves under races: whatever the order of things, budgets hold, no work is cut off, and waves end. */
 class WaveStepperProperties {
@@ -40,8 +40,9 @@
     private static final int STEPS = 1_500;
     private static final int SETTLE_STEPS = 20_000;
 
-    private static FleetWorld world(long seed, Set<Trouble> troubles, @Nullable Off off, WaveOrder order) {
-        FleetWorld w = new FleetWorld(seed, troubles, off);
+    private static FleetSimulation simulation(
+            long seed, Set<Fault> faults, @Nullable DisabledRule disabledRule, WaveOrder order) {
+        FleetSimulation w = new FleetSimulation(seed, faults, disabledRule);
         w.service("clips", 4, Reserve.NONE);
         w.service("archive", 2, Reserve.INSTANCE);
         w.sparePool("spare");
@@ -68,11 +69,11 @@
     }
 
     @Group
-    class Holding {
+    class Invariants {
 
         @Property(seed = "11", tries = 150, shrinking = ShrinkingMode.OFF)
-        void budgetsHoldAndTheWaveEndsUnderAllTroubles(@ForAll long seed, @ForAll WaveOrder order) {
-            FleetWorld w = world(seed, EnumSet.allOf(Trouble.class), null, order);
+        void budgetsHoldAndTheWaveEndsUnderAllFaults(@ForAll long seed, @ForAll WaveOrder order) {
+            FleetSimulation w = simulation(seed, EnumSet.allOf(Fault.class), null, order);
             w.run(STEPS);
             w.settle("full", SETTLE_STEPS);
             FleetView v = w.store.view();
@@ -85,9 +86,9 @@
         }
 
         @Property(seed = "12", tries = 60, shrinking = ShrinkingMode.OFF)
-        void twoWavesThatOverlapBothEnd(@ForAll long seed) {
-            FleetWorld w =
-                    world(seed, EnumSet.of(Trouble.PAUSED_DRIVERS, Trouble.KILLED_DRIVERS), null, WaveOrder.WIDE);
+        void overlappingWavesBothEnd(@ForAll long seed) {
+            FleetSimulation w =
+                    simulation(seed, EnumSet.of(Fault.PAUSED_DRIVERS, Fault.KILLED_DRIVERS), null, WaveOrder.WIDE);
             List<WaveTarget> some = List.of(new WaveTarget("c1", null), new WaveTarget("a1", null));
             w.wave(wave("second", WaveKind.REBOOT, some, WaveOrder.WIDE));
             w.run(STEPS);
@@ -96,8 +97,9 @@
         }
 
         @Property(seed = "13", tries = 40, shrinking = ShrinkingMode.OFF)
-        void aMigrationThereAndAwayHolds(@ForAll long seed) {
-            FleetWorld w = world(seed, EnumSet.of(Trouble.PAUSED_DRIVERS, Trouble.LOST_WRITES), null, WaveOrder.WIDE);
+        void migrationIntoAndOutOfAPoolSucceeds(@ForAll long seed) {
+            FleetSimulation w =
+                    simulation(seed, EnumSet.of(Fault.PAUSED_DRIVERS, Fault.LOST_WRITES), null, WaveOrder.WIDE);
             w.settle("full", SETTLE_STEPS);
             List<WaveTarget> out = List.of(new WaveTarget("c0", "spare"), new WaveTarget("c1", "spare"));
             w.wave(wave("away", WaveKind.MIGRATE, out, WaveOrder.WIDE));
@@ -112,11 +114,11 @@
         }
 
         @Example
-        void aWaveWhoseDriversDieAtEachStepInTurnStillEnds() {
-            FleetWorld whole = world(3, Set.of(), null, WaveOrder.WIDE);
+        void waveEndsAfterDriversAreKilledAtAnyStep() {
+            FleetSimulation whole = simulation(3, Set.of(), null, WaveOrder.WIDE);
             whole.settle("full", SETTLE_STEPS);
-            for (int k = 1; k <= whole.acted(); k++) {
-                FleetWorld w = world(3, Set.of(), null, WaveOrder.WIDE);
+            for (int k = 1; k <= whole.actionCount(); k++) {
+                FleetSimulation w = simulation(3, Set.of(), null, WaveOrder.WIDE);
                 w.killDriversAfter(k);
                 w.settle("full", SETTLE_STEPS);
                 assertEquals(
@@ -127,22 +129,24 @@
         }
 
         @Example
-        void instancesThatStayAwayHaltTheWave() {
-            FleetWorld w = world(7, Set.of(), null, WaveOrder.WIDE);
+        void instancesThatDoNotReturnHaltTheWave() {
+            FleetSimulation w = simulation(7, Set.of(), null, WaveOrder.WIDE);
             w.workers.values().forEach(x -> x.neverReturns = true);
             w.run(5_000);
-            assertTrue(w.worstReboots() <= 1, "the first of a wave goes alone, but " + w.worstReboots() + " went");
+            assertTrue(
+                    w.maxConcurrentReboots() <= 1,
+                    "the first of a wave goes alone, but " + w.maxConcurrentReboots() + " went");
         }
     }
 
     /** Each rule switched off in turn: the same checks must notice. */
     @Group
-    class Noticing {
+    class ViolationDetection {
 
-        private boolean isNoticed(Off off, Set<Trouble> troubles) {
+        private boolean isDetected(DisabledRule disabledRule, Set<Fault> faults) {
             for (long seed = 0; seed < 300; seed++) {
                 try {
-                    world(seed, troubles, off, WaveOrder.WIDE).run(STEPS);
+                    simulation(seed, faults, disabledRule, WaveOrder.WIDE).run(STEPS);
                 } catch (AssertionError e) {
                     return true;
                 }
@@ -152,22 +156,22 @@
 
         @Example
         void writesWithoutComparing() {
-            assertTrue(isNoticed(Off.COMPARE_AND_SWAP, EnumSet.of(Trouble.PAUSED_DRIVERS)));
+            assertTrue(isDetected(DisabledRule.COMPARE_AND_SWAP, EnumSet.of(Fault.PAUSED_DRIVERS)));
         }
 
         @Example
-        void permitsStruckOffWhileInUse() {
-            assertTrue(isNoticed(Off.SPENT_PERMITS, EnumSet.of(Trouble.PAUSED_DRIVERS, Trouble.BUSY_OPERATORS)));
+        void permitsRemovedWhileInUse() {
+            assertTrue(isDetected(DisabledRule.SPENT_PERMITS, EnumSet.of(Fault.PAUSED_DRIVERS, Fault.BUSY_OPERATORS)));
         }
 
         @Example
         void drainsWithoutFence() {
-            assertTrue(isNoticed(Off.FENCE, EnumSet.of(Trouble.PAUSED_DRIVERS, Trouble.BUSY_OPERATORS)));
+            assertTrue(isDetected(DisabledRule.FENCE, EnumSet.of(Fault.PAUSED_DRIVERS, Fault.BUSY_OPERATORS)));
         }
 
         @Example
         void rebootsWithoutConfirmation() {
-            assertTrue(isNoticed(Off.CONFIRMATION_AND_IDLE, EnumSet.of(Trouble.PAUSED_DRIVERS)));
+            assertTrue(isDetected(DisabledRule.CONFIRMATION_AND_IDLE, EnumSet.of(Fault.PAUSED_DRIVERS)));
         }
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeDecider.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeDecider.java
@@ -247,7 +247,7 @@
         String reason = c.steering().past() + " by an operator";
         return write(
                 StoreKeys.wave(c.name()),
-                w.in(next, reason, operator, writeId),
+                w.withState(next, reason, operator, writeId),
                 "wave " + c.name() + " is " + next + " (was " + w.state() + ")");
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
@@ -246,7 +246,7 @@
     private CommandResult plan(WavePlan plan) {
         List<String> lines = new ArrayList<>();
         lines.add(plan.moves() + " moves in " + plan.rounds() + " rounds, about "
-                + plan.expectedMillis() / 1_000 + " s at 120 s a round; at most " + plan.widest()
+                + plan.expectedMillis() / 1_000 + " s at 120 s a round; at most " + plan.maxConcurrent()
                 + " out at once; reserve held " + plan.reserve());
         plan.steps()
                 .forEach(s -> lines.add("round " + s.round() + "  " + s.target().instance() + "  " + s.reason()));
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverSight.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverSight.java
@@ -18,8 +18,8 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.lupinpaddle.core.wave.FleetSight;
-import org.lupinpaddle.core.wave.Sight;
+import org.lupinpaddle.core.wave.FleetStatus;
+import org.lupinpaddle.core.wave.WorkerStatus;
 
 /**
  * The fleet as one driver sees it at one look.
@@ -30,13 +30,13 @@
  * @param returnMillis how long a reboot may take
  */
 record DriverSight(WorkerProbe probe, ConfirmedRevisions confirmed, Map<Undrain, Long> undrained, long returnMillis)
-        implements FleetSight {
+        implements FleetStatus {
 
     /** An undrain under a fence. */
     record Undrain(String instance, long fence) {}
 
     @Override
-    public Sight of(String instance) {
+    public WorkerStatus statusOf(String instance) {
         return probe.of(instance);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
@@ -33,7 +33,7 @@
 import org.lupinpaddle.core.service.MemberReconciler;
 import org.lupinpaddle.core.service.ServiceRecord;
 import org.lupinpaddle.core.view.FleetView;
-import org.lupinpaddle.core.wave.FleetSight;
+import org.lupinpaddle.core.wave.FleetStatus;
 import org.lupinpaddle.core.wave.WaveAction;
 import org.lupinpaddle.core.wave.WaveRecord;
 import org.lupinpaddle.core.wave.WaveStepper;
@@ -177,7 +177,7 @@
     }
 
     private void drive(WaveRecord w) {
-        FleetSight sight = new DriverSight(probe, confirmed, Map.copyOf(undrained), returnMillis);
+        FleetStatus sight = new DriverSight(probe, confirmed, Map.copyOf(undrained), returnMillis);
         List<WaveAction> actions = WaveStepper.step(
                 config.view(), w.name(), sight, () -> UUID.randomUUID().toString());
         actions.forEach(this::carryOut);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
@@ -30,7 +30,7 @@
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.instance.InstanceRecord;
 import org.lupinpaddle.core.instance.InstanceState;
-import org.lupinpaddle.core.wave.Sight;
+import org.lupinpaddle.core.wave.WorkerStatus;
 import org.lupinpaddle.daemon.common.EventLoop;
 
 /** Asks workers for their state and keeps what each last said. */
@@ -45,7 +45,7 @@
 
     private final HttpClient client;
     private final EventLoop loop;
-    private final Map<String, Sight> sights = new HashMap<>();
+    private final Map<String, WorkerStatus> sights = new HashMap<>();
     private final Map<String, Long> silentSince = new HashMap<>();
     private final Map<String, Long> rebootingSince = new HashMap<>();
     private final Set<String> underWay = new HashSet<>();
@@ -69,7 +69,7 @@
                     public void onComplete(Result result) {
                         boolean good =
                                 result.isSucceeded() && result.getResponse().getStatus() == OK;
-                        Sight s = good ? parse(getContentAsString(StandardCharsets.UTF_8), sent) : null;
+                        WorkerStatus s = good ? parse(getContentAsString(StandardCharsets.UTF_8), sent) : null;
                         loop.execute(() -> take(i.id(), s, sent));
                     }
                 });
@@ -83,14 +83,14 @@
         }
     }
 
-    private static @Nullable Sight parse(@Nullable String text, long sent) {
+    private static @Nullable WorkerStatus parse(@Nullable String text, long sent) {
         try {
             JsonNode n = MAPPER.readTree(text == null ? "" : text);
             boolean whole = n.path("incarnation").isIntegralNumber()
                     && n.path("running").isInt()
                     && n.path("leaving").isBoolean();
             return whole
-                    ? new Sight(
+                    ? new WorkerStatus(
                             n.path("incarnation").asLong(),
                             true,
                             n.path("leaving").asBoolean(),
@@ -102,7 +102,7 @@
         }
     }
 
-    private void take(String id, @Nullable Sight s, long sent) {
+    private void take(String id, @Nullable WorkerStatus s, long sent) {
         underWay.remove(id);
         if (s != null) {
             sights.put(id, s);
@@ -110,13 +110,13 @@
             return;
         }
         silentSince.putIfAbsent(id, sent);
-        Sight old = sights.getOrDefault(id, Sight.NONE);
-        sights.put(id, new Sight(old.incarnation(), false, old.leaving(), old.running(), sent));
+        WorkerStatus old = sights.getOrDefault(id, WorkerStatus.NONE);
+        sights.put(id, new WorkerStatus(old.incarnation(), false, old.leaving(), old.running(), sent));
     }
 
     /** Returns what a worker last said. */
-    Sight of(String instance) {
-        return sights.getOrDefault(instance, Sight.NONE);
+    WorkerStatus of(String instance) {
+        return sights.getOrDefault(instance, WorkerStatus.NONE);
     }
 
     /** Returns those that have been silent for long enough to count as failed. */
