--- a/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
@@ -20,7 +20,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.lupinpaddle.core.common.ForgettingMean;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /**
  * How much finite work comes in, by what was accepted lately: what a service has to carry all the time so that nothing
@@ -70,7 +70,7 @@
         private double acceleratorTime;
 
         /** Adds tasks that take this room for so long. */
-        public void add(Room each, int tasks, long millis) {
+        public void add(Resources each, int tasks, long millis) {
             cpuTime += (double) each.cpuMillis() * tasks * millis;
             memoryTime += (double) each.memoryMb() * tasks * millis;
             acceleratorTime += (double) each.accelerators() * tasks * millis;
@@ -85,7 +85,7 @@
     }
 
     /** Returns the room that what comes in takes on the mean. */
-    public Room room(long now) {
+    public Resources room(long now) {
         double cpu = 0;
         double memory = 0;
         double accelerators = 0;
@@ -95,6 +95,6 @@
             memory += rate * q.memoryTime.value();
             accelerators += rate * q.acceleratorTime.value();
         }
-        return new Room(Math.round(cpu), Math.round(memory), (int) Math.ceil(accelerators));
+        return new Resources(Math.round(cpu), Math.round(memory), (int) Math.ceil(accelerators));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/capacity/Demand.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/Demand.java
@@ -15,7 +15,7 @@
  */
 package org.lupinpaddle.core.capacity;
 
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** Adds up what a service's work asks for, and says how many workers of one size that takes. */
 public final class Demand {
@@ -28,9 +28,9 @@
     private static final long KEPT_BACK_MILLIS = 1_200;
     private static final long LEAST_TIME_MILLIS = 500;
 
-    private Room running = Room.NONE;
-    private Room lasting = Room.NONE;
-    private Room flow = Room.NONE;
+    private Resources running = Resources.NONE;
+    private Resources lasting = Resources.NONE;
+    private Resources flow = Resources.NONE;
     // What finite work takes all the time, so that it ends when it should.
     private double cpuMillis;
     private double memoryMb;
@@ -38,7 +38,7 @@
     private int spread;
 
     /** Adds a task that lasts. */
-    public void addLasting(Room room) {
+    public void addLasting(Resources room) {
         lasting = lasting.plus(room);
     }
 
@@ -51,7 +51,7 @@
      * @param part of all that its job's steps take, what they can take at one time: steps wait for each other
      * @param placed whether it has a worker already
      */
-    public void addFinite(Room room, long leftMillis, long availableMillis, double part, boolean placed) {
+    public void addFinite(Resources room, long leftMillis, long availableMillis, double part, boolean placed) {
         double share = part * share(leftMillis, availableMillis);
         cpuMillis += room.cpuMillis() * share;
         memoryMb += room.memoryMb() * share;
@@ -67,7 +67,7 @@
     }
 
     /** Takes in the room that what comes in takes all the time. */
-    public void flows(Room room) {
+    public void flows(Resources room) {
         flow = room;
     }
 
@@ -77,7 +77,7 @@
     }
 
     /** Returns how many workers with this room the work needs, in fractions of one. */
-    public double need(Room each) {
+    public double need(Resources each) {
         double byCpu =
                 needed(most(cpuMillis, running.cpuMillis(), flow.cpuMillis()) + lasting.cpuMillis(), each.cpuMillis());
         double byMemory =
--- a/core/src/main/java/org/lupinpaddle/core/placement/Candidate.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Candidate.java
@@ -22,20 +22,20 @@
     WorkerFacts facts();
 
     /** Returns the room that nothing takes, what is being stopped counted as taken. */
-    Room free();
+    Resources free();
 
     /** Returns whether the worker carries tasks that last. */
-    boolean carriesLasting();
+    boolean runsLongRunningTask();
 
     /** Returns whether the worker carries a task under which another worker has crashed. */
-    boolean carriesSuspect();
+    boolean runsSuspectTask();
 
     /** Returns whether the worker carries nothing. */
-    boolean isEmpty();
+    boolean isIdle();
 
     /** Returns how many tasks of one time of a step the worker carries. */
-    int carried(StepTime step);
+    int taskCount(StepRepetition step);
 
     /** Returns whether the run that ended last on the worker ended well; runs that an order has ended do not count. */
-    boolean isProven();
+    boolean lastRunSucceeded();
 }
--- a/core/src/main/java/org/lupinpaddle/core/placement/Company.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Colocation.java
@@ -19,7 +19,7 @@
  * Beside what a task may be put. A task under which a worker has crashed may have crashed it, and takes down what runs beside
  * it if it does so again; and only apart from others like it can it be told from those that merely stood there.
  */
-public enum Company {
+public enum Colocation {
     /** Beside anything; rather not beside a suspect. */
     ANY {
         @Override
@@ -28,17 +28,17 @@
         }
     },
     /** Beside no other suspect. */
-    NO_SUSPECT {
+    NO_OTHER_SUSPECT {
         @Override
         boolean allows(Candidate c) {
-            return !c.carriesSuspect();
+            return !c.runsSuspectTask();
         }
     },
     /** Beside nothing at all. */
-    NONE {
+    EXCLUSIVE {
         @Override
         boolean allows(Candidate c) {
-            return c.isEmpty();
+            return c.isIdle();
         }
     };
 
--- a/core/src/main/java/org/lupinpaddle/core/placement/Wish.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/PlacementRequest.java
@@ -22,20 +22,20 @@
  * What is to be placed.
  *
  * @param step the task's step
- * @param of names the step's tasks of one time
+ * @param repetition names the step's tasks of one time
  * @param avoidWorkers workers on which the task has failed
- * @param onlyElsewhere whether those workers are out of the question for now
+ * @param excludeAvoidedWorkers whether those workers are out of the question for now
  * @param avoidDomains racks on which it had better not be tried again
- * @param company beside what it had better run
- * @param onlyInCompany whether other workers are out of the question for now
- * @param onlyProven whether only workers come into question on which something has ended well
+ * @param colocation beside what it had better run
+ * @param requireColocation whether other workers are out of the question for now
+ * @param requireProvenWorker whether only workers come into question on which something has ended well
  */
-public record Wish(
+public record PlacementRequest(
         StepSpec step,
-        StepTime of,
+        StepRepetition repetition,
         Set<String> avoidWorkers,
-        boolean onlyElsewhere,
+        boolean excludeAvoidedWorkers,
         Set<String> avoidDomains,
-        Company company,
-        boolean onlyInCompany,
-        boolean onlyProven) {}
+        Colocation colocation,
+        boolean requireColocation,
+        boolean requireProvenWorker) {}
--- a/core/src/main/java/org/lupinpaddle/core/placement/Placer.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Placer.java
@@ -31,42 +31,42 @@
     private Placer() {}
 
     /** Returns the best of the candidates that may carry the task, or nothing. */
-    public static <C extends Candidate> Optional<C> choose(Collection<C> candidates, Wish wish) {
-        return candidates.stream().filter(c -> mayCarry(c, wish)).min(preference(wish));
+    public static <C extends Candidate> Optional<C> choose(Collection<C> candidates, PlacementRequest request) {
+        return candidates.stream().filter(c -> isEligible(c, request)).min(preference(request));
     }
 
     /** Returns whether the worker may carry one more task of this kind. */
-    public static boolean mayCarry(Candidate c, Wish wish) {
-        int most = wish.step().perWorkerMost();
-        return c.free().holds(Room.of(wish.step()))
-                && c.facts().hasLabel(wish.step().label())
-                && !(wish.onlyElsewhere()
-                        && wish.avoidWorkers().contains(c.facts().id()))
-                && (!wish.onlyProven() || c.isProven())
-                && (!wish.onlyInCompany() || wish.company().allows(c))
-                && (most == 0 || c.carried(wish.of()) < most);
+    public static boolean isEligible(Candidate c, PlacementRequest request) {
+        int maxPerWorker = request.step().perWorkerMost();
+        return c.free().canHold(Resources.of(request.step()))
+                && c.facts().hasLabel(request.step().label())
+                && !(request.excludeAvoidedWorkers()
+                        && request.avoidWorkers().contains(c.facts().id()))
+                && (!request.requireProvenWorker() || c.lastRunSucceeded())
+                && (!request.requireColocation() || request.colocation().allows(c))
+                && (maxPerWorker == 0 || c.taskCount(request.repetition()) < maxPerWorker);
     }
 
-    private static Comparator<Candidate> preference(Wish wish) {
+    private static Comparator<Candidate> preference(PlacementRequest request) {
         return Comparator.<Candidate>comparingInt(
-                        c -> wish.avoidWorkers().contains(c.facts().id()) ? 1 : 0)
-                .thenComparingInt(c -> wish.avoidDomains().contains(c.facts().failureDomain()) ? 1 : 0)
-                .thenComparingInt(c -> wish.company().allows(c) ? 0 : 1)
-                .thenComparingInt(c -> c.carriesSuspect() ? 1 : 0)
-                .thenComparingInt(c -> c.facts().hasLabel(wish.step().affinityRack()) ? 0 : 1)
-                .thenComparingInt(c -> wish.step().longRunning() ? c.carried(wish.of()) : 0)
-                .thenComparingInt(c -> wish.step().longRunning() && !c.carriesLasting() ? 1 : 0)
-                .thenComparingLong(c -> spreads(wish) ? loadPerMille(c) : -loadPerMille(c))
+                        c -> request.avoidWorkers().contains(c.facts().id()) ? 1 : 0)
+                .thenComparingInt(c -> request.avoidDomains().contains(c.facts().failureDomain()) ? 1 : 0)
+                .thenComparingInt(c -> request.colocation().allows(c) ? 0 : 1)
+                .thenComparingInt(c -> c.runsSuspectTask() ? 1 : 0)
+                .thenComparingInt(c -> c.facts().hasLabel(request.step().affinityRack()) ? 0 : 1)
+                .thenComparingInt(c -> request.step().longRunning() ? c.taskCount(request.repetition()) : 0)
+                .thenComparingInt(c -> request.step().longRunning() && !c.runsLongRunningTask() ? 1 : 0)
+                .thenComparingLong(c -> prefersLeastLoaded(request) ? loadPerMille(c) : -loadPerMille(c))
                 .thenComparing(c -> c.facts().id());
     }
 
     /** Returns whether the least loaded worker is the best: what crashes its worker is to take little with it. */
-    private static boolean spreads(Wish wish) {
-        return wish.step().longRunning() || wish.company() != Company.ANY;
+    private static boolean prefersLeastLoaded(PlacementRequest request) {
+        return request.step().longRunning() || request.colocation() != Colocation.ANY;
     }
 
     private static long loadPerMille(Candidate c) {
-        long all = Math.max(1, c.facts().room().cpuMillis());
-        return (all - c.free().cpuMillis()) * 1000 / all;
+        long total = Math.max(1, c.facts().capacity().cpuMillis());
+        return (total - c.free().cpuMillis()) * 1000 / total;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/placement/Room.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Resources.java
@@ -24,56 +24,56 @@
  * @param memoryMb megabytes
  * @param accelerators whole accelerators
  */
-public record Room(long cpuMillis, long memoryMb, long accelerators) {
+public record Resources(long cpuMillis, long memoryMb, long accelerators) {
 
     // What asks for nothing of a kind is not limited by it.
-    private static final long MOST_PLACES = 1_000_000;
+    private static final long UNLIMITED_COUNT = 1_000_000;
 
     /** Nothing. */
-    public static final Room NONE = new Room(0, 0, 0);
+    public static final Resources NONE = new Resources(0, 0, 0);
 
     /** Returns what one task of the step takes of a worker; what fills takes no processor time of its own. */
-    public static Room of(StepSpec step) {
+    public static Resources of(StepSpec step) {
         StepSpec.Need n = step.need();
-        return new Room(step.fills() ? 0 : n.cpuMillis(), n.memoryMb(), n.accelerators());
+        return new Resources(step.fills() ? 0 : n.cpuMillis(), n.memoryMb(), n.accelerators());
     }
 
     /** Returns the sum. */
-    public Room plus(Room other) {
-        return new Room(cpuMillis + other.cpuMillis, memoryMb + other.memoryMb, accelerators + other.accelerators);
+    public Resources plus(Resources other) {
+        return new Resources(cpuMillis + other.cpuMillis, memoryMb + other.memoryMb, accelerators + other.accelerators);
     }
 
     /** Returns the difference. */
-    public Room minus(Room other) {
-        return new Room(cpuMillis - other.cpuMillis, memoryMb - other.memoryMb, accelerators - other.accelerators);
+    public Resources minus(Resources other) {
+        return new Resources(cpuMillis - other.cpuMillis, memoryMb - other.memoryMb, accelerators - other.accelerators);
     }
 
     /** Returns this amount multiplied by {@code count}. */
-    public Room times(long count) {
-        return new Room(cpuMillis * count, memoryMb * count, accelerators * count);
+    public Resources times(long count) {
+        return new Resources(cpuMillis * count, memoryMb * count, accelerators * count);
     }
 
     /** Returns the larger one of each kind. */
-    public Room orMore(Room other) {
-        return new Room(
+    public Resources componentMax(Resources other) {
+        return new Resources(
                 Math.max(cpuMillis, other.cpuMillis),
                 Math.max(memoryMb, other.memoryMb),
                 Math.max(accelerators, other.accelerators));
     }
 
     /** Returns whether {@code other} fits into this. */
-    public boolean holds(Room other) {
+    public boolean canHold(Resources other) {
         return cpuMillis >= other.cpuMillis && memoryMb >= other.memoryMb && accelerators >= other.accelerators;
     }
 
     /** Returns how many times {@code one} fits into this. */
-    public long placesFor(Room one) {
+    public long countOf(Resources one) {
         return Math.min(
                 times(cpuMillis, one.cpuMillis),
                 Math.min(times(memoryMb, one.memoryMb), times(accelerators, one.accelerators)));
     }
 
-    private static long times(long all, long one) {
-        return one == 0 ? MOST_PLACES : Math.max(0, all / one);
+    private static long times(long total, long one) {
+        return one == 0 ? UNLIMITED_COUNT : Math.max(0, total / one);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/placement/StepTime.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/StepRepetition.java
@@ -21,7 +21,7 @@
  * One time of one step of a job: the tasks whose spread over workers is limited together.
  *
  * @param job the job
- * @param time which repetition
+ * @param repetition which repetition
  * @param step which step
  */
-public record StepTime(JobKey job, int time, int step) {}
+public record StepRepetition(JobKey job, int repetition, int step) {}
--- a/core/src/main/java/org/lupinpaddle/core/placement/WorkerFacts.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/WorkerFacts.java
@@ -21,24 +21,24 @@
  * What a worker says of itself in the platform's store.
  *
  * @param id names the worker; a restart may keep it
- * @param bornMillis when this life started, see {@link WorkerIncarnation}
+ * @param startMillis when this life started, see {@link WorkerIncarnation}
  * @param service the service whose pool it belongs to
  * @param address IP and port
  * @param hall the data hall it stands in
  * @param draining whether it is about to end and takes no new work
  * @param remainingMillis the least time until it ends, while it drains; 0 where it did not say
- * @param room what it offers in all
+ * @param capacity what it offers in all
  * @param labels its kind and its rack
  */
 public record WorkerFacts(
         String id,
-        long bornMillis,
+        long startMillis,
         String service,
         String address,
         String hall,
         boolean draining,
         long remainingMillis,
-        Room room,
+        Resources capacity,
         List<String> labels) {
 
     /** Makes the facts of a worker that does not state its birth. */
@@ -49,14 +49,14 @@
             String hall,
             boolean draining,
             long remainingMillis,
-            Room room,
+            Resources capacity,
             List<String> labels) {
-        this(id, WorkerIncarnation.UNKNOWN_BIRTH, service, address, hall, draining, remainingMillis, room, labels);
+        this(id, WorkerIncarnation.UNKNOWN_START, service, address, hall, draining, remainingMillis, capacity, labels);
     }
 
     /** Returns which life of the worker these facts are of. */
     public WorkerIncarnation incarnation() {
-        return new WorkerIncarnation(id, bornMillis);
+        return new WorkerIncarnation(id, startMillis);
     }
 
     /** Returns whether the worker has the label; every worker has the empty one. */
--- a/core/src/main/java/org/lupinpaddle/core/placement/WorkerIncarnation.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/WorkerIncarnation.java
@@ -19,29 +19,29 @@
  * One life of a worker. A worker that restarts may keep its id; the time of its start tells its lives apart.
  *
  * @param id the worker's id, which may outlive a restart
- * @param bornMillis when this life started, in milliseconds since 1970 by its host's clock; {@link #UNKNOWN_BIRTH} or
+ * @param startMillis when this life started, in milliseconds since 1970 by its host's clock; {@link #UNKNOWN_BIRTH} or
  *     {@link #UNREADABLE_BIRTH} where nobody can tell
  */
-public record WorkerIncarnation(String id, long bornMillis) {
+public record WorkerIncarnation(String id, long startMillis) {
 
     /** The birth of a worker that states none. */
-    public static final long UNKNOWN_BIRTH = 0;
+    public static final long UNKNOWN_START = 0;
 
     /** Stands for a birth that is stated and is not a positive whole number; it proves as little as an unknown one. */
-    public static final long UNREADABLE_BIRTH = -1;
+    public static final long UNREADABLE_START = -1;
 
     /** Returns whether the worker has stated when this life started. */
-    public boolean hasBirth() {
-        return bornMillis > UNKNOWN_BIRTH;
+    public boolean hasStartTime() {
+        return startMillis > UNKNOWN_START;
     }
 
     /** Returns whether this is another life of the same worker for certain; unknown births prove nothing. */
-    public boolean differsFrom(WorkerIncarnation other) {
-        return hasBirth() && other.hasBirth() && bornMillis != other.bornMillis;
+    public boolean isKnownToDifferFrom(WorkerIncarnation other) {
+        return hasStartTime() && other.hasStartTime() && startMillis != other.startMillis;
     }
 
     /** Returns whether this life started after the other. */
     public boolean isLaterThan(WorkerIncarnation other) {
-        return differsFrom(other) && bornMillis > other.bornMillis;
+        return isKnownToDifferFrom(other) && startMillis > other.startMillis;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/AdviceOrder.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/AdviceOrder.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.core.run;
 
 import java.util.List;
-import org.lupinpaddle.core.placement.StepTime;
+import org.lupinpaddle.core.placement.StepRepetition;
 
 /**
  * A question to the service that knows which workers may run a step.
@@ -24,4 +24,4 @@
  * @param step the step, at one of the job's times
  * @param workers the ids of the workers asked about
  */
-public record AdviceOrder(StepTime step, List<String> workers) {}
+public record AdviceOrder(StepRepetition step, List<String> workers) {}
--- a/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
@@ -76,7 +76,7 @@
         List<String> unknown = workers.stream()
                 .filter(w ->
                         !k.refused.contains(w.facts().id()) && ticket(step, w).isEmpty())
-                .filter(w -> Placer.mayCarry(w, any.wish(now)))
+                .filter(w -> Placer.isEligible(w, any.wish(now)))
                 .map(w -> w.facts().id())
                 .sorted()
                 .limit(MOST_ASKED)
--- a/core/src/main/java/org/lupinpaddle/core/run/DemandReport.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/DemandReport.java
@@ -23,7 +23,7 @@
 import org.lupinpaddle.core.capacity.Demand;
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.capacity.WorkerLoad;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 
 /** Puts together what the owner of a service tells of it. */
@@ -51,7 +51,7 @@
             }
             add(job, demands);
         }
-        Room usual = usualRoom();
+        Resources usual = usualRoom();
         double ahead = state.trend.ahead(state.now(), demands.all.need(usual));
         int needed = (int) Math.max(demands.all.fewest(), Math.ceil(ahead));
         demands.onTime.flows(state.arrivals.room(state.now()));
@@ -122,12 +122,12 @@
     }
 
     /** The smallest worker counts: what fits on it fits everywhere. */
-    private Room usualRoom() {
+    private Resources usualRoom() {
         return state.workers.values().stream()
-                .map(w -> w.facts().room())
+                .map(w -> w.facts().capacity())
                 .filter(r -> r.cpuMillis() > 0)
-                .min(Comparator.comparingLong(Room::cpuMillis))
-                .orElse(Room.NONE);
+                .min(Comparator.comparingLong(Resources::cpuMillis))
+                .orElse(Resources.NONE);
     }
 
     private List<WorkerLoad> loads() {
--- a/core/src/main/java/org/lupinpaddle/core/run/HoldAnswer.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/HoldAnswer.java
@@ -33,7 +33,7 @@
 
     /** Makes the answer of a worker that does not state its birth. */
     public HoldAnswer(long clockMillis, List<RunningReport> running, List<EndReport> ended) {
-        this(WorkerIncarnation.UNKNOWN_BIRTH, clockMillis, running, ended);
+        this(WorkerIncarnation.UNKNOWN_START, clockMillis, running, ended);
     }
 
     /** Returns whether runs may have ended that are listed neither as running nor as ended. */
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveStep.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveStep.java
@@ -20,7 +20,7 @@
 import java.util.OptionalLong;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** All tasks of one step at one of the job's times. */
 final class LiveStep {
@@ -30,9 +30,9 @@
     final int number;
     final StepSpec spec;
     /** What each of its tasks takes of a worker. */
-    final Room room;
+    final Resources room;
     /** The amount charged to the workspace quota per task, also if a task fills its worker. */
-    final Room need;
+    final Resources need;
 
     final List<LiveTask> tasks = new ArrayList<>();
     // Asked for in each pass over all steps, so counted and not looked up.
@@ -54,9 +54,9 @@
         this.time = time;
         this.number = number;
         this.spec = job.spec.steps().get(number);
-        this.room = Room.of(spec);
+        this.room = Resources.of(spec);
         StepSpec.Need taskNeed = spec.need();
-        this.need = new Room(taskNeed.cpuMillis(), taskNeed.memoryMb(), taskNeed.accelerators());
+        this.need = new Resources(taskNeed.cpuMillis(), taskNeed.memoryMb(), taskNeed.accelerators());
         for (int i = 0; i < spec.count(); i++) {
             tasks.add(new LiveTask(this, new TaskId(time, number, i)));
         }
@@ -141,7 +141,7 @@
     }
 
     /** Returns the minimum amount that one placement requires: that of a single task, or of the whole gang. */
-    Room smallestPlacement() {
+    Resources smallestPlacement() {
         return spec.gang() ? need.times(tasks.size()) : need;
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
@@ -27,8 +27,8 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
-import org.lupinpaddle.core.placement.StepTime;
-import org.lupinpaddle.core.placement.Wish;
+import org.lupinpaddle.core.placement.PlacementRequest;
+import org.lupinpaddle.core.placement.StepRepetition;
 import org.lupinpaddle.core.placement.WorkerIncarnation;
 
 /** One task at the owner of its service: where it runs and what has become of its runs. */
@@ -58,7 +58,7 @@
     }
 
     private static final int ALL_PERCENT = 100;
-    private static final WorkerIncarnation NO_LIFE = new WorkerIncarnation("", WorkerIncarnation.UNKNOWN_BIRTH);
+    private static final WorkerIncarnation NO_LIFE = new WorkerIncarnation("", WorkerIncarnation.UNKNOWN_START);
 
     // From the third attempt on, another rack is tried: two failures on one may be the rack's.
     private static final int ATTEMPTS_BEFORE_OTHER_RACK = 2;
@@ -82,7 +82,7 @@
     final LiveJob job;
     final TaskId id;
     final StepSpec step;
-    final StepTime stepTime;
+    final StepRepetition stepTime;
     /** The step and time that it belongs to. */
     final LiveStep of;
 
@@ -173,7 +173,7 @@
         this.job = of.job;
         this.id = id;
         this.step = of.spec;
-        this.stepTime = new StepTime(job.spec.key(), id.time(), id.step());
+        this.stepTime = new StepRepetition(job.spec.key(), id.time(), id.step());
     }
 
     void enter(Phase next, long now) {
@@ -283,12 +283,12 @@
         elsewhereUntil = now + ELSEWHERE_MILLIS * Math.max(1, failures);
     }
 
-    Wish wish(long now) {
+    PlacementRequest wish(long now) {
         avoided.values().removeIf(a -> a.worker.over);
         Set<String> domains = failures >= ATTEMPTS_BEFORE_OTHER_RACK ? failedDomains : Set.of();
         boolean onlyProven = now < provenUntil;
         Set<String> workers = onlyProven ? stillDoubted() : avoided.keySet();
-        return new Wish(
+        return new PlacementRequest(
                 step,
                 stepTime,
                 workers,
@@ -301,7 +301,7 @@
 
     /** Returns whether its run was given to an earlier life of its worker than the one that answers now. */
     boolean isOfEarlierLife() {
-        return worker != null && worker.incarnation().differsFrom(incarnation);
+        return worker != null && worker.incarnation().isKnownToDifferFrom(incarnation);
     }
 
     /** Returns the workers on which it has failed and nothing has ended well since. */
@@ -342,7 +342,7 @@
         boolean done = phase == Phase.DONE || finished;
         // What is done goes on nowhere; only members of a gang go on from each other's.
         String from = done && !step.gang() ? "" : checkpoint;
-        Long born = worker != null && incarnation.hasBirth() ? (Long) incarnation.bornMillis() : null;
+        Long born = worker != null && incarnation.hasStartTime() ? (Long) incarnation.startMillis() : null;
         return new TaskRecord(
                 id.time(), id.step(), id.index(), run, failures, done, w, from, crashes, doubtfulCrashes, born);
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.placement.Candidate;
-import org.lupinpaddle.core.placement.Room;
-import org.lupinpaddle.core.placement.StepTime;
+import org.lupinpaddle.core.placement.Resources;
+import org.lupinpaddle.core.placement.StepRepetition;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.placement.WorkerIncarnation;
 
@@ -64,7 +64,7 @@
 
     private long endsAt = Long.MAX_VALUE;
     final Set<LiveTask> tasks = new LinkedHashSet<>();
-    private Room used = Room.NONE;
+    private Resources used = Resources.NONE;
     private int lasting;
     private int filling;
     private int suspects;
@@ -131,7 +131,7 @@
 
     LiveWorker(WorkerFacts facts, long inheritedUntil) {
         this.facts = facts;
-        this.incarnation = new WorkerIncarnation(facts.id(), WorkerIncarnation.UNKNOWN_BIRTH);
+        this.incarnation = new WorkerIncarnation(facts.id(), WorkerIncarnation.UNKNOWN_START);
         this.inheritedUntil = inheritedUntil;
     }
 
@@ -201,7 +201,7 @@
 
     /** Takes in the birth that an answer states, where none is known. */
     void states(WorkerIncarnation life, long now) {
-        if (life.hasBirth() && !incarnation.hasBirth()) {
+        if (life.hasStartTime() && !incarnation.hasStartTime()) {
             incarnation = life;
             incarnationKnownAt = now;
         }
@@ -214,7 +214,7 @@
 
     /** Returns whether its entry may be that of another life, which may have had other room and labels. */
     boolean hasEntryOfOtherLife() {
-        return facts.incarnation().differsFrom(incarnation);
+        return facts.incarnation().isKnownToDifferFrom(incarnation);
     }
 
     void update(WorkerFacts f, long now) {
@@ -263,17 +263,17 @@
     }
 
     @Override
-    public Room free() {
+    public Resources free() {
         boolean closed = isolated > 0 && tasks.stream().anyMatch(this::isIsolated);
         if (closed || (onProbation && tasks.stream().anyMatch(this::isOnTrial))) {
-            return Room.NONE;
+            return Resources.NONE;
         }
-        return facts.room().minus(used);
+        return facts.capacity().minus(used);
     }
 
     /** Returns whether its tasks ask for more than it has, since it had more when they were chosen. */
     boolean isOverItsRoom() {
-        return !tasks.isEmpty() && !facts.room().holds(used);
+        return !tasks.isEmpty() && !facts.capacity().canHold(used);
     }
 
     /** Returns whether the task may still crash the worker as it has crashed others, and nothing is to stand beside it. */
@@ -291,22 +291,22 @@
     }
 
     @Override
-    public boolean carriesLasting() {
+    public boolean runsLongRunningTask() {
         return lasting > 0;
     }
 
     @Override
-    public boolean carriesSuspect() {
+    public boolean runsSuspectTask() {
         return suspects > 0;
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean isIdle() {
         return tasks.isEmpty();
     }
 
     @Override
-    public int carried(StepTime step) {
+    public int taskCount(StepRepetition step) {
         int n = 0;
         for (LiveTask t : tasks) {
             if (t.stepTime.equals(step)) {
@@ -317,13 +317,13 @@
     }
 
     @Override
-    public boolean isProven() {
+    public boolean lastRunSucceeded() {
         return endedWellAt != NOT_WELL;
     }
 
     /** Returns whether something has ended well there since, and nothing has failed after that. */
     boolean isProvenSince(long then) {
-        return isProven() && endedWellAt > then;
+        return lastRunSucceeded() && endedWellAt > then;
     }
 
     /** Takes in that a run has ended well. */
@@ -495,6 +495,6 @@
 
     /** Returns its cursor of results and its birth, for the log. */
     String describe() {
-        return results + " born=" + incarnation.bornMillis();
+        return results + " born=" + incarnation.startMillis();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/LossLog.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LossLog.java
@@ -47,7 +47,7 @@
         static Loss of(LiveWorker w, long now) {
             Set<LiveStep> steps = new HashSet<>();
             w.tasks.forEach(t -> steps.add(t.of));
-            return new Loss(w.facts().id(), w.lastResponseAt(), w.failedBy(now), steps, w.carriesSuspect());
+            return new Loss(w.facts().id(), w.lastResponseAt(), w.failedBy(now), steps, w.runsSuspectTask());
         }
 
         private boolean mayBeTogetherWith(Loss other) {
--- a/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
@@ -21,7 +21,7 @@
 import java.util.Optional;
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.placement.Placer;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 
 /** Gives waiting tasks their workers, the most urgent steps first. */
@@ -45,11 +45,11 @@
         if (usable.isEmpty()) {
             return;
         }
-        Room most = mostFree(usable);
+        Resources most = mostFree(usable);
         for (StepUrgency u : byUrgency(most)) {
             LiveStep s = u.step();
             // What is free only shrinks while steps are placed.
-            if (most.holds(s.room)) {
+            if (most.canHold(s.room)) {
                 int waiting = s.waiting();
                 if (s.job.quota.mayPlace(s.smallestPlacement())) {
                     advise(s, usable);
@@ -63,21 +63,21 @@
         state.quotas.boundWaiting(totalFree(usable));
     }
 
-    private static Room totalFree(List<LiveWorker> workers) {
-        Room total = Room.NONE;
+    private static Resources totalFree(List<LiveWorker> workers) {
+        Resources total = Resources.NONE;
         for (LiveWorker w : workers) {
-            total = total.plus(w.free().orMore(Room.NONE));
+            total = total.plus(w.free().componentMax(Resources.NONE));
         }
         return total;
     }
 
     /** Returns the steps that wait and might find room, the most urgent one first. */
-    private List<StepUrgency> byUrgency(Room most) {
+    private List<StepUrgency> byUrgency(Resources most) {
         long wall = state.wallNow();
         List<StepUrgency> steps = new ArrayList<>();
         for (LiveJob j : state.live.values()) {
             for (LiveStep s : j.steps) {
-                if (s.hasWaiting() && most.holds(s.room) && s.isReady(wall) && state.hasOwnName(j)) {
+                if (s.hasWaiting() && most.canHold(s.room) && s.isReady(wall) && state.hasOwnName(j)) {
                     steps.add(StepUrgency.of(s, wall));
                 }
             }
@@ -87,10 +87,10 @@
     }
 
     /** Returns as much of each kind as is free on any one worker: what asks for more of one kind fits on none. */
-    private static Room mostFree(List<LiveWorker> workers) {
-        Room most = workers.get(0).free();
+    private static Resources mostFree(List<LiveWorker> workers) {
+        Resources most = workers.get(0).free();
         for (LiveWorker w : workers) {
-            most = most.orMore(w.free());
+            most = most.componentMax(w.free());
         }
         return most;
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/RackChoice.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RackChoice.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** Keeps the tasks of a step on one rack where that makes them faster, if one rack has room for all of them. */
 final class RackChoice {
@@ -39,7 +39,7 @@
         long waiting = step.tasks.stream()
                 .filter(t -> t.phase == LiveTask.Phase.WAITING)
                 .count();
-        Room need = Room.of(step.spec);
+        Resources need = Resources.of(step.spec);
         return racks.entrySet().stream()
                 .filter(r -> placesFor(need, r.getValue()) >= waiting)
                 .max(Comparator.<Map.Entry<String, List<LiveWorker>>>comparingLong(r -> placed(step, r.getKey()))
@@ -55,7 +55,7 @@
                 .count();
     }
 
-    private static long placesFor(Room need, Collection<LiveWorker> workers) {
-        return workers.stream().mapToLong(w -> w.free().placesFor(need)).sum();
+    private static long placesFor(Resources need, Collection<LiveWorker> workers) {
+        return workers.stream().mapToLong(w -> w.free().countOf(need)).sum();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/RestartTracker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RestartTracker.java
@@ -39,9 +39,9 @@
 
     /** Takes in the entry of a worker. */
     void onListed(LiveWorker w, WorkerFacts f) {
-        logUnreadable(w, f.bornMillis(), "entry");
+        logUnreadable(w, f.startMillis(), "entry");
         boolean restarted = f.incarnation().isLaterThan(w.incarnation())
-                && f.incarnation().differsFrom(w.facts().incarnation());
+                && f.incarnation().isKnownToDifferFrom(w.facts().incarnation());
         w.update(f, state.now());
         if (restarted) {
             // A poll that waits at the earlier life may stay without an answer until it times out.
@@ -79,8 +79,8 @@
 
     private @Nullable LiveWorker lifeOf(LiveWorker w, long sentAt, HoldAnswer answer) {
         WorkerIncarnation life = new WorkerIncarnation(w.facts().id(), answer.bornMillis());
-        if (!life.differsFrom(w.incarnation())) {
-            boolean restarted = !life.hasBirth() && w.clockWentBack(answer.clockMillis(), sentAt);
+        if (!life.isKnownToDifferFrom(w.incarnation())) {
+            boolean restarted = !life.hasStartTime() && w.clockWentBack(answer.clockMillis(), sentAt);
             w.states(life, state.now());
             return restarted ? restarted(w, life, answer) : w;
         }
@@ -94,7 +94,7 @@
         String first = answer.ended().isEmpty()
                 ? ""
                 : " first-listed-end=" + answer.ended().get(0).number();
-        String detail = "born=" + life.bornMillis() + " clock=" + answer.clockMillis() + first + " tasks="
+        String detail = "born=" + life.startMillis() + " clock=" + answer.clockMillis() + first + " tasks="
                 + before.tasks.size() + " before: " + before.describe();
         state.note(SchedulerEvent.Kind.WORKER_RESTARTED, before, detail);
         LossLog.Loss loss = LossLog.Loss.of(before, state.now());
@@ -129,7 +129,7 @@
     }
 
     private void logUnreadable(LiveWorker w, long bornMillis, String source) {
-        if (bornMillis == WorkerIncarnation.UNREADABLE_BIRTH && !w.birthUnreadable) {
+        if (bornMillis == WorkerIncarnation.UNREADABLE_START && !w.birthUnreadable) {
             state.note(SchedulerEvent.Kind.BIRTH_UNREADABLE, w, "source=" + source);
             w.birthUnreadable = true;
         }
--- a/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
@@ -176,7 +176,7 @@
     /** Takes in that a start without an answer may reach a later life than it was meant for, with a deadline by another clock. */
     private void expectLateAtNextLife(StartOrder order) {
         LiveWorker w = state.workers.get(order.worker().id());
-        if (w != null && w.incarnation().differsFrom(order.worker().incarnation())) {
+        if (w != null && w.incarnation().isKnownToDifferFrom(order.worker().incarnation())) {
             state.expectOtherClocks(
                     w, state.openStarts.lastCarriedOutBy(order.worker().id(), state.now()));
         }
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
@@ -33,7 +33,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 import org.lupinpaddle.core.workspace.QuotaTable;
@@ -132,7 +132,7 @@
         ArrivalRate.Work work = new ArrivalRate.Work();
         for (LiveStep s : job.steps) {
             if (s.time == 0 && !s.spec.longRunning()) {
-                work.add(Room.of(s.spec), s.spec.count(), state.expectedMillis(s));
+                work.add(Resources.of(s.spec), s.spec.count(), state.expectedMillis(s));
             }
         }
         long age = Math.max(0, state.wallNow() - job.spec.acceptedMillis());
@@ -257,7 +257,7 @@
     public void onAdvised(AdviceOrder order, @Nullable AdviceAnswer answer) {
         LiveJob job = state.jobs.get(order.step().job());
         if (job != null) {
-            advisor.onAdvised(job.step(order.step().time(), order.step().step()), order, answer);
+            advisor.onAdvised(job.step(order.step().repetition(), order.step().step()), order, answer);
         }
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceState.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceState.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Placer;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.workspace.QuotaTable;
 
@@ -124,7 +124,7 @@
     }
 
     private WorkerFacts unknown(String id) {
-        return new WorkerFacts(id, service, "", "", true, 0, Room.NONE, List.of());
+        return new WorkerFacts(id, service, "", "", true, 0, Resources.NONE, List.of());
     }
 
     /** Returns whether the list of workers is new enough for tasks to be placed and started by it. */
@@ -167,7 +167,7 @@
     /** Returns whether another worker could take the task now. */
     boolean hasPlaceElsewhere(LiveTask t) {
         return workers.values().stream()
-                .anyMatch(o -> o != t.worker && isUsable(o) && Placer.mayCarry(o, t.wish(now())));
+                .anyMatch(o -> o != t.worker && isUsable(o) && Placer.isEligible(o, t.wish(now())));
     }
 
     /** Returns how long one of the step's tasks is expected to run: as its siblings did, if one is done. */
--- a/core/src/main/java/org/lupinpaddle/core/run/Suspicion.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Suspicion.java
@@ -15,22 +15,22 @@
  */
 package org.lupinpaddle.core.run;
 
-import org.lupinpaddle.core.placement.Company;
+import org.lupinpaddle.core.placement.Colocation;
 
 /** What is thought of a task by how many workers have crashed under it: each may have stood there by chance. */
 enum Suspicion {
     /** Nothing has crashed under it. */
-    NONE(Company.ANY),
+    NONE(Colocation.ANY),
     /** One worker has: what crashed it is among all that ran there, so these are kept apart. */
-    APART(Company.NO_SUSPECT),
+    APART(Colocation.NO_OTHER_SUSPECT),
     /** Several have: it runs alone, so that nothing else is lost and a further crash speaks against nothing else. */
-    ALONE(Company.NONE);
+    ALONE(Colocation.EXCLUSIVE);
 
     private static final int CRASHES_UNTIL_ALONE = 2;
 
-    private final Company company;
+    private final Colocation company;
 
-    Suspicion(Company company) {
+    Suspicion(Colocation company) {
         this.company = company;
     }
 
@@ -41,7 +41,7 @@
         return crashes < CRASHES_UNTIL_ALONE ? APART : ALONE;
     }
 
-    Company company() {
+    Colocation company() {
         return company;
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/run/WorkerJudge.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/WorkerJudge.java
@@ -50,7 +50,7 @@
         if (!kind.countsAsAttempt()) {
             return;
         }
-        t.failedWhereOthersEndWell |= w.isProven();
+        t.failedWhereOthersEndWell |= w.lastRunSucceeded();
         w.failed();
         boolean wellElsewhere = t.job.tasks.stream().anyMatch(o -> o.phase == LiveTask.Phase.DONE);
         w.evidence.add(t.job.spec.key() + (wellElsewhere ? "." + t.id : ""));
--- a/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
@@ -20,7 +20,7 @@
 import java.util.TreeMap;
 import org.lupinpaddle.core.common.CheckedRecord;
 import org.lupinpaddle.core.common.Unreadable;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /**
  * The division of a workspace's quota among services, stored as one record per workspace with a quota. The owner of a service
@@ -40,12 +40,12 @@
      * @param granted the total amount that the service's tasks of the workspace may use
      * @param requested the total amount that they could use if it exceeds the grant; otherwise {@link Room#NONE}
      */
-    public record Grant(Room granted, Room requested) {
+    public record Grant(Resources granted, Resources requested) {
 
-        static final Grant NONE = new Grant(Room.NONE, Room.NONE);
+        static final Grant NONE = new Grant(Resources.NONE, Resources.NONE);
 
         private boolean isSound() {
-            return granted.holds(Room.NONE) && requested.holds(Room.NONE);
+            return granted.canHold(Resources.NONE) && requested.canHold(Resources.NONE);
         }
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/workspace/QuotaTable.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/QuotaTable.java
@@ -19,7 +19,7 @@
 import java.util.TreeMap;
 import java.util.function.BiConsumer;
 import org.jspecify.annotations.Nullable;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** The quotas of all workspaces at the owner of one service. */
 public final class QuotaTable {
@@ -69,7 +69,7 @@
     }
 
     /** Limits the waiting demand to the free capacity of the service's workers, after a placement pass. */
-    public void boundWaiting(Room free) {
+    public void boundWaiting(Resources free) {
         byName.values().forEach(q -> q.boundWaiting(free));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/workspace/Resource.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/Resource.java
@@ -16,37 +16,37 @@
 package org.lupinpaddle.core.workspace;
 
 import java.util.function.ToLongFunction;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** The resources that a quota limits independently of one another. */
 enum Resource {
     /** In thousandths of a core. */
     CPU {
         @Override
-        long of(Room r) {
+        long of(Resources r) {
             return r.cpuMillis();
         }
     },
     /** In megabytes. */
     MEMORY {
         @Override
-        long of(Room r) {
+        long of(Resources r) {
             return r.memoryMb();
         }
     },
     /** In whole accelerators. */
     ACCELERATORS {
         @Override
-        long of(Room r) {
+        long of(Resources r) {
             return r.accelerators();
         }
     };
 
     /** Returns the amount of this resource in {@code r}. */
-    abstract long of(Room r);
+    abstract long of(Resources r);
 
     /** Returns a room with the given amount of each resource. */
-    static Room room(ToLongFunction<Resource> amount) {
-        return new Room(amount.applyAsLong(CPU), amount.applyAsLong(MEMORY), amount.applyAsLong(ACCELERATORS));
+    static Resources room(ToLongFunction<Resource> amount) {
+        return new Resources(amount.applyAsLong(CPU), amount.applyAsLong(MEMORY), amount.applyAsLong(ACCELERATORS));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/workspace/Workspace.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/Workspace.java
@@ -17,7 +17,7 @@
 
 import java.util.List;
 import java.util.Set;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /**
  * A tenant of the fleet with its own API keys, capacity share and quota.
@@ -27,11 +27,11 @@
  * @param weight the share of scarce capacity, in jobs per second; 0 if not configured
  * @param maximum the resources that its running work may use across all workers; an amount of 0 is unlimited
  */
-public record Workspace(String name, List<KeyDigest> keys, double weight, Room maximum) {
+public record Workspace(String name, List<KeyDigest> keys, double weight, Resources maximum) {
 
     /** Returns whether any resource is limited. */
     public boolean isLimited() {
-        return !maximum.equals(Room.NONE);
+        return !maximum.equals(Resources.NONE);
     }
 
     /** Returns a copy without the given keys. */
--- a/core/src/main/java/org/lupinpaddle/core/workspace/WorkspaceQuota.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/WorkspaceQuota.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.jspecify.annotations.Nullable;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.workspace.QuotaAllocation.Grant;
 
 /**
@@ -42,18 +42,18 @@
     private static final long REQUEST_CHANGE_DIVISOR = 4;
 
     private final String service;
-    private Room maximum = Room.NONE;
+    private Resources maximum = Resources.NONE;
     private QuotaAllocation allocation = QuotaAllocation.NONE;
     private long revision;
     private boolean allocationKnown;
     private boolean maximumConfirmed = true;
     /** The lowest grant among writes whose outcome is unknown; null if there are none. */
-    private @Nullable Room unconfirmed;
+    private @Nullable Resources unconfirmed;
 
-    private Room used = Room.NONE;
-    private Room waiting = Room.NONE;
+    private Resources used = Resources.NONE;
+    private Resources waiting = Resources.NONE;
     /** The minimum amount that a placement of waiting tasks requires; null if none are waiting. */
-    private @Nullable Room smallestPlacement;
+    private @Nullable Resources smallestPlacement;
 
     private long loweredAt = Long.MIN_VALUE / 2;
     private long lastInsufficientAt = Long.MIN_VALUE / 2;
@@ -65,7 +65,7 @@
     }
 
     /** Sets the maximum; resources with an amount of 0 are unlimited. */
-    void setMaximum(Room newMaximum) {
+    void setMaximum(Resources newMaximum) {
         maximum = newMaximum;
     }
 
@@ -76,7 +76,7 @@
 
     /** Returns whether any resource is limited. */
     public boolean isLimited() {
-        return !maximum.equals(Room.NONE);
+        return !maximum.equals(Resources.NONE);
     }
 
     /** Applies the stored allocation; revisions that are not newer are ignored. */
@@ -102,7 +102,7 @@
 
     /** Returns whether the service has a stored request that exceeds its grant. */
     public boolean hasUnmetRequest() {
-        return !allocation.grant(service).requested().equals(Room.NONE);
+        return !allocation.grant(service).requested().equals(Resources.NONE);
     }
 
     /** Records that the stored allocation is unreadable; no task is placed until it can be read. */
@@ -117,25 +117,25 @@
 
     /** Records that a write of an allocation has started; until its outcome is known, the lower grant applies. */
     public void onWriteStarted(QuotaAllocation next) {
-        Room granted = next.grant(service).granted();
-        Room previous = unconfirmed;
+        Resources granted = next.grant(service).granted();
+        Resources previous = unconfirmed;
         unconfirmed = previous == null ? granted : minimum(previous, granted);
     }
 
     /** Charges a placed task to the quota. */
-    public void add(Room need) {
+    public void add(Resources need) {
         used = used.plus(need);
     }
 
     /** Releases the charge of a task whose run is over. */
-    public void remove(Room need) {
+    public void remove(Resources need) {
         used = used.minus(need);
-        yielding |= used.equals(Room.NONE) && isContested();
+        yielding |= used.equals(Resources.NONE) && isContested();
     }
 
     /** Resets the waiting demand; called before each placement pass. */
     void clearWaiting() {
-        waiting = Room.NONE;
+        waiting = Resources.NONE;
         smallestPlacement = null;
     }
 
@@ -145,23 +145,23 @@
      * @param total the amount that all of them need
      * @param placement the minimum amount that one placement requires: that of a single task, or of a whole gang
      */
-    public void addWaiting(Room total, Room placement) {
+    public void addWaiting(Resources total, Resources placement) {
         waiting = waiting.plus(total);
-        Room previous = smallestPlacement;
+        Resources previous = smallestPlacement;
         smallestPlacement = previous == null ? placement : minimum(previous, placement);
     }
 
     /** Limits the waiting demand to the free capacity of the service's workers. */
-    void boundWaiting(Room free) {
+    void boundWaiting(Resources free) {
         waiting = minimum(waiting, free);
     }
 
-    private static Room minimum(Room a, Room b) {
+    private static Resources minimum(Resources a, Resources b) {
         return Resource.room(r -> Math.min(r.of(a), r.of(b)));
     }
 
     /** Returns whether tasks that need the given amount may be placed now. */
-    public boolean mayPlace(Room need) {
+    public boolean mayPlace(Resources need) {
         if (!isLimited()) {
             return true;
         }
@@ -178,7 +178,7 @@
 
     private boolean mayPlace(Resource r, long need) {
         long granted = granted(r);
-        Room pending = unconfirmed;
+        Resources pending = unconfirmed;
         long usable = pending == null ? granted : Math.min(granted, r.of(pending));
         boolean overGranted = granted + othersGranted(r) > Math.max(r.of(maximum), need);
         return !overGranted && r.of(used) + need <= usable;
@@ -188,7 +188,7 @@
      * Returns whether a placed task, whose need is charged already, would be started beyond the maximum, which may have been
      * lowered since. A task that is larger than the maximum may be started where nothing else is charged.
      */
-    public boolean isExceededBy(Room need) {
+    public boolean isExceededBy(Resources need) {
         for (Resource r : Resource.values()) {
             long limit = Math.max(r.of(maximum), r.of(need));
             if (r.of(maximum) > 0 && r.of(need) > 0 && r.of(used) + othersGranted(r) > limit) {
@@ -213,7 +213,7 @@
     private boolean isContested() {
         return allocation.grants().entrySet().stream()
                 .filter(e -> !e.getKey().equals(service))
-                .anyMatch(e -> !e.getValue().requested().equals(Room.NONE));
+                .anyMatch(e -> !e.getValue().requested().equals(Resources.NONE));
     }
 
     /** Returns the allocation that should replace the stored one; empty if no write is needed. */
@@ -226,12 +226,12 @@
         }
         yielding = yielding && now < yieldingUntil;
         Grant current = allocation.grant(service);
-        Room target = yielding ? Room.NONE : target();
-        Room need = used.plus(waiting);
+        Resources target = yielding ? Resources.NONE : target();
+        Resources need = used.plus(waiting);
         boolean insufficient = exceeds(need, target);
         lastInsufficientAt = insufficient ? now : lastInsufficientAt;
         boolean retained = !insufficient && now - lastInsufficientAt < REQUEST_RETENTION_MILLIS;
-        Room requested = insufficient ? need : retained ? current.requested() : Room.NONE;
+        Resources requested = insufficient ? need : retained ? current.requested() : Resources.NONE;
         Grant wanted = new Grant(target, requested);
         boolean raises = exceeds(target, current.granted());
         boolean tooSoon = !raises && now - loweredAt < LOWERING_INTERVAL_MILLIS;
@@ -244,7 +244,7 @@
     }
 
     /** Returns whether {@code a} exceeds {@code b} in any limited resource. */
-    private boolean exceeds(Room a, Room b) {
+    private boolean exceeds(Resources a, Resources b) {
         for (Resource r : Resource.values()) {
             if (r.of(maximum) > 0 && r.of(a) > r.of(b)) {
                 return true;
@@ -254,12 +254,13 @@
     }
 
     private static boolean isSimilar(Grant a, Grant b) {
-        boolean bothRequest = !a.requested().equals(Room.NONE) && !b.requested().equals(Room.NONE);
+        boolean bothRequest =
+                !a.requested().equals(Resources.NONE) && !b.requested().equals(Resources.NONE);
         boolean similar = bothRequest && isSimilar(a.requested(), b.requested());
         return a.granted().equals(b.granted()) && (similar || a.requested().equals(b.requested()));
     }
 
-    private static boolean isSimilar(Room a, Room b) {
+    private static boolean isSimilar(Resources a, Resources b) {
         for (Resource r : Resource.values()) {
             if (Math.abs(r.of(a) - r.of(b)) > Math.max(r.of(a), r.of(b)) / REQUEST_CHANGE_DIVISOR) {
                 return false;
@@ -268,15 +269,15 @@
         return true;
     }
 
-    private Room target() {
-        Room desired = Resource.room(r -> r.of(maximum) == 0 ? 0 : target(r));
-        Room placement = smallestPlacement;
+    private Resources target() {
+        Resources desired = Resource.room(r -> r.of(maximum) == 0 ? 0 : target(r));
+        Resources placement = smallestPlacement;
         boolean sufficient = placement == null || !exceeds(used.plus(placement), desired);
         if (sufficient) {
             return desired;
         }
         // Acquires nothing that is too small for a placement, and returns the unused part if others request it.
-        Room current = allocation.grant(service).granted();
+        Resources current = allocation.grant(service).granted();
         return isContested() ? Resource.room(r -> Math.min(r.of(used), r.of(current))) : minimum(current, desired);
     }
 
@@ -336,7 +337,7 @@
                 + format(maximum);
     }
 
-    private static String format(Room r) {
+    private static String format(Resources r) {
         return r.cpuMillis() + "/" + r.memoryMb() + "/" + r.accelerators();
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
@@ -20,7 +20,7 @@
 
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 class ArrivalRateTest {
 
@@ -30,7 +30,7 @@
     private void jobs(long from, int count, long everyMillis) {
         for (int i = 0; i < count; i++) {
             ArrivalRate.Work w = new ArrivalRate.Work();
-            w.add(new Room(1_000, 100, 0), 5, 1_000);
+            w.add(new Resources(1_000, 100, 0), 5, 1_000);
             rate.accepted("q", from + i * everyMillis, w);
         }
     }
@@ -76,7 +76,7 @@
 
         @Test
         void takeNothing() {
-            assertEquals(Room.NONE, rate.room(1_000));
+            assertEquals(Resources.NONE, rate.room(1_000));
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/capacity/DemandTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/DemandTest.java
@@ -19,12 +19,12 @@
 
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 class DemandTest {
 
-    private static final Room WORKER = new Room(10_000, 10_000, 0);
-    private static final Room TASK = new Room(1_000, 100, 0);
+    private static final Resources WORKER = new Resources(10_000, 10_000, 0);
+    private static final Resources TASK = new Resources(1_000, 100, 0);
 
     private final Demand demand = new Demand();
 
--- a/core/src/test/java/org/lupinpaddle/core/run/ChangingRoomTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ChangingRoomTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.StepSpec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
@@ -44,7 +44,7 @@
 
     private static WorkerFacts withCores(String id, long cpuMillis) {
         WorkerFacts w = SchedulerDriver.worker(id);
-        Room room = new Room(cpuMillis, w.room().memoryMb(), 0);
+        Resources room = new Resources(cpuMillis, w.capacity().memoryMb(), 0);
         return new WorkerFacts(w.id(), w.service(), w.address(), w.hall(), false, 0, room, w.labels());
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/run/CrashJudgeTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/CrashJudgeTest.java
@@ -131,8 +131,8 @@
             d.job("a", ONE);
             started();
             WorkerFacts w = SchedulerDriver.worker("w1");
-            d.scheduler.onWorkers(List.of(
-                    new WorkerFacts(w.id(), w.service(), w.address(), w.hall(), true, 1_000, w.room(), w.labels())));
+            d.scheduler.onWorkers(List.of(new WorkerFacts(
+                    w.id(), w.service(), w.address(), w.hall(), true, 1_000, w.capacity(), w.labels())));
             d.otherLife("w1");
             assertEquals(0, written().knownCrashes());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/LeavingWorkerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/LeavingWorkerTest.java
@@ -23,7 +23,7 @@
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
@@ -43,7 +43,8 @@
     private final SchedulerDriver d = new SchedulerDriver();
 
     private static WorkerFacts leaving(String id) {
-        return new WorkerFacts(id, "clips", "at-" + id, "north", true, 2_000, new Room(4_000, 8_000, 0), List.of("r"));
+        return new WorkerFacts(
+                id, "clips", "at-" + id, "north", true, 2_000, new Resources(4_000, 8_000, 0), List.of("r"));
     }
 
     private static EndReport done(long number, int index) {
--- a/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/OwnerExperiment.java
@@ -32,7 +32,7 @@
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /**
@@ -43,7 +43,7 @@
 public final class OwnerExperiment implements SchedulerPort {
 
     private static final int WORKERS = 60;
-    private static final Room ROOM = new Room(8_000, 16_000, 0);
+    private static final Resources ROOM = new Resources(8_000, 16_000, 0);
     private static final StepSpec.Need NEED = new StepSpec.Need(1_000, 100, 0);
     private static final int LASTING_JOBS = 5;
     // Until these moments jobs come at these rates; a job has two steps of four tasks.
--- a/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PlacementPassTest.java
@@ -24,7 +24,7 @@
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /** Which task is placed next, and when none is. */
@@ -109,7 +109,7 @@
 
         private WorkerFacts worker(String id, long cpuMillis, long memoryMb) {
             return new WorkerFacts(
-                    id, "clips", "at-" + id, "north", false, 0, new Room(cpuMillis, memoryMb, 0), List.of("rack"));
+                    id, "clips", "at-" + id, "north", false, 0, new Resources(cpuMillis, memoryMb, 0), List.of("rack"));
         }
 
         private StepSpec asking(long cpuMillis, long memoryMb) {
--- a/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/SchedulerDriver.java
@@ -25,7 +25,7 @@
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /** A scheduler with workers that answer as a test says, on a clock that a test moves. */
@@ -35,7 +35,7 @@
     static final long INHERITED_MILLIS = 15_000;
     static final long STOP_MILLIS = 300;
     static final StepSpec.Need NEED = new StepSpec.Need(1_000, 100, 0);
-    private static final Room ROOM = new Room(4_000, 8_000, 0);
+    private static final Resources ROOM = new Resources(4_000, 8_000, 0);
 
     final FakePort port = new FakePort();
     final ServiceScheduler scheduler;
--- a/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
@@ -191,7 +191,7 @@
 
         private WorkerFacts leaving(String id) {
             WorkerFacts f = SchedulerDriver.worker(id);
-            return new WorkerFacts(id, f.service(), f.address(), f.hall(), true, 2_000, f.room(), f.labels());
+            return new WorkerFacts(id, f.service(), f.address(), f.hall(), true, 2_000, f.capacity(), f.labels());
         }
 
         @Test
@@ -819,7 +819,7 @@
 
         private WorkerFacts nowhere(String id) {
             WorkerFacts f = SchedulerDriver.worker(id);
-            return new WorkerFacts(id, f.service(), "", f.hall(), false, 0, f.room(), f.labels());
+            return new WorkerFacts(id, f.service(), "", f.hall(), false, 0, f.capacity(), f.labels());
         }
 
         @Test
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -502,7 +502,7 @@
         /** Guards against losing a worker, or a pass, to a birth that nobody can read. */
         @Test
         void isLoggedOnceAndTheWorkerIsUsed() {
-            long unreadable = WorkerIncarnation.UNREADABLE_BIRTH;
+            long unreadable = WorkerIncarnation.UNREADABLE_START;
             d.scheduler.onWorkers(List.of(SchedulerDriver.born("w1", unreadable)));
             d.passes(1);
             d.answersAs("w1", unreadable, OLD_CLOCK, List.of(), List.of());
--- a/core/src/test/java/org/lupinpaddle/core/workspace/QuotaExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/workspace/QuotaExperiment.java
@@ -20,7 +20,7 @@
 import java.util.Deque;
 import java.util.List;
 import java.util.Random;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /**
  * Simulates strategies for enforcing a workspace quota across four services whose demand peaks in rotation. For each strategy,
@@ -37,7 +37,7 @@
     private static final long DURATION_MILLIS = 36_000;
     private static final long PEAK_MILLIS = 4_500;
     private static final long TASK_DURATION_MILLIS = 640;
-    private static final Room TASK_NEED = new Room(1_500, 0, 0);
+    private static final Resources TASK_NEED = new Resources(1_500, 0, 0);
     private static final long MAXIMUM_CPU_MILLIS = 60_000;
 
     /** A strategy for enforcing the quota. */
@@ -86,14 +86,15 @@
         Owner(int index) {
             this.index = index;
             quota = new WorkspaceQuota("service-" + index);
-            quota.setMaximum(new Room(
+            quota.setMaximum(new Resources(
                     strategy == Strategy.FIXED_SPLIT ? MAXIMUM_CPU_MILLIS / SERVICES : MAXIMUM_CPU_MILLIS, 0, 0));
             quota.onNoAllocation(0);
             if (strategy == Strategy.FIXED_SPLIT) {
                 quota.onAllocation(
                         QuotaAllocation.NONE.with(
                                 "service-" + index,
-                                new QuotaAllocation.Grant(new Room(MAXIMUM_CPU_MILLIS / SERVICES, 0, 0), Room.NONE)),
+                                new QuotaAllocation.Grant(
+                                        new Resources(MAXIMUM_CPU_MILLIS / SERVICES, 0, 0), Resources.NONE)),
                         1);
             }
         }
--- a/core/src/test/java/org/lupinpaddle/core/workspace/WorkspaceQuotaTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/workspace/WorkspaceQuotaTest.java
@@ -24,7 +24,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** Tests how owners of services share a workspace's quota through stored allocations. */
 class WorkspaceQuotaTest {
@@ -35,14 +35,14 @@
     private long revision;
     private long now;
 
-    private static Room cpu(long amount) {
-        return new Room(amount, 0, 0);
+    private static Resources cpu(long amount) {
+        return new Resources(amount, 0, 0);
     }
 
     /** The owner of a service that places tasks of one size within its quota. */
     private final class Owner {
         final WorkspaceQuota quota;
-        final Room task;
+        final Resources task;
         int waiting;
         int running;
         int placed;
--- a/core/src/test/java/org/lupinpaddle/core/workspace/WorkspacesTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/workspace/WorkspacesTest.java
@@ -24,14 +24,14 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.Unreadable;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.workspace.Workspaces.Rejected;
 
 /** Handling of invalid workspace entries, and lookup of workspaces by key. */
 class WorkspacesTest {
 
     private static Workspace workspace(String name, String... keys) {
-        return new Workspace(name, List.of(keys).stream().map(KeyDigest::of).toList(), 1, new Room(1_000, 0, 0));
+        return new Workspace(name, List.of(keys).stream().map(KeyDigest::of).toList(), 1, new Resources(1_000, 0, 0));
     }
 
     private static Workspaces of(Workspace... all) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -36,7 +36,7 @@
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.EndReport;
 import org.lupinpaddle.core.run.HoldAnswer;
@@ -203,8 +203,8 @@
     }
 
     private void aWorkerAndAJob() {
-        WorkerFacts w =
-                new WorkerFacts("w1", "clips", "at-w1", "north", false, 0, new Room(4_000, 8_000, 0), List.of("rack"));
+        WorkerFacts w = new WorkerFacts(
+                "w1", "clips", "at-w1", "north", false, 0, new Resources(4_000, 8_000, 0), List.of("rack"));
         store.set("worker/w1", RecordCodec.write(w));
         StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
         JobKey key = new JobKey("q", "a");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -32,7 +32,7 @@
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.Submission;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.queue.Admission;
 import org.lupinpaddle.core.queue.CallerRequest;
 import org.lupinpaddle.core.queue.JobConfiguration;
@@ -212,8 +212,8 @@
 
         private void configure(long version, String... keys) {
             List<KeyDigest> digests = List.of(keys).stream().map(KeyDigest::of).toList();
-            Workspace news = new Workspace("news", digests, 1, Room.NONE);
-            Workspace archive = new Workspace("archive", List.of(KeyDigest.of("k9")), 1, Room.NONE);
+            Workspace news = new Workspace("news", digests, 1, Resources.NONE);
+            Workspace archive = new Workspace("archive", List.of(KeyDigest.of("k9")), 1, Resources.NONE);
             QueueConfig keyed = new QueueConfig("q", "host", "/clips/", "clips", queue.policy(), true);
             JobConfiguration c = new JobConfiguration(
                     version,
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.queue.JobConfiguration;
 import org.lupinpaddle.core.queue.QueueConfig;
@@ -159,7 +159,7 @@
     }
 
     void lists(String worker, boolean draining) {
-        Room room = new Room(1_000, 8_000, 0);
+        Resources room = new Resources(1_000, 8_000, 0);
         WorkerFacts w = new WorkerFacts(
                 worker, "clips", "at-" + worker, "north", draining, draining ? 2_000 : 0, room, List.of("rack"));
         store.set("worker/" + worker, RecordCodec.write(w));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaKeeperTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaKeeperTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.SchedulerTiming;
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.WorkspaceQuota;
@@ -35,7 +35,7 @@
 /** Tests the quota grants that a service owner writes to an in-memory store. */
 class QuotaKeeperTest {
 
-    private static final Room TASK = new Room(1_000, 0, 0);
+    private static final Resources TASK = new Resources(1_000, 0, 0);
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
@@ -63,7 +63,7 @@
     }
 
     private void addLimitedWorkspace(String workspace, long cpuMillis) {
-        workspaces.add(new Workspace(workspace, List.of(), 1, new Room(cpuMillis, 0, 0)));
+        workspaces.add(new Workspace(workspace, List.of(), 1, new Resources(cpuMillis, 0, 0)));
     }
 
     private WorkspaceQuota addWaitingTask(String workspace) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
 /** Which workers are listed while records of another writer come and go among them. */
@@ -46,7 +46,7 @@
     }
 
     private void good(String id) {
-        Room room = new Room(4_000, 4_000, 0);
+        Resources room = new Resources(4_000, 4_000, 0);
         WorkerFacts f = new WorkerFacts(id, "clips", id + ":1", "north", false, 0, room, List.of());
         store.set("worker/" + id, RecordCodec.write(f));
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -35,7 +35,7 @@
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.fleet.PlatformInstance.State;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.RunningReport;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
@@ -52,7 +52,7 @@
     private final SimStore store;
     private final Rules rules;
     private final Random random;
-    private final Room room;
+    private final Resources room;
     private final Supplier<Optional<CrashingTasks>> crashing;
     private final BooleanSupplier keepsId;
     private final Map<String, Machine> machines = new TreeMap<>();
@@ -93,7 +93,7 @@
             SimStore store,
             Rules rules,
             Random random,
-            Room room,
+            Resources room,
             Supplier<Optional<CrashingTasks>> crashing,
             BooleanSupplier keepsId) {
         this.time = time;
--- a/model/src/main/java/org/lupinpaddle/model/SimWorker.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorker.java
@@ -28,7 +28,7 @@
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.EndReport;
 import org.lupinpaddle.core.run.HoldAnswer;
@@ -108,7 +108,7 @@
 
     /** Returns which life this is: the id alone may be that of several. */
     String life() {
-        return facts.id() + "@" + facts.bornMillis();
+        return facts.id() + "@" + facts.startMillis();
     }
 
     String hall() {
@@ -143,13 +143,13 @@
         drainsSince = time.now();
         facts = new WorkerFacts(
                 facts.id(),
-                facts.bornMillis(),
+                facts.startMillis(),
                 facts.service(),
                 facts.address(),
                 facts.hall(),
                 true,
                 remainingMillis,
-                facts.room(),
+                facts.capacity(),
                 facts.labels());
     }
 
@@ -195,7 +195,7 @@
             return OrderOutcome.OLD_RUN;
         }
         StepSpec step = World.step(rules, o.jobId(), o.task());
-        if (step != null && !free().holds(Room.of(step))) {
+        if (step != null && !free().canHold(Resources.of(step))) {
             return OrderOutcome.NO_ROOM;
         }
         rules.started(this, o, late);
@@ -203,13 +203,13 @@
         return OrderOutcome.ACCEPTED;
     }
 
-    private Room free() {
-        Room used = Room.NONE;
+    private Resources free() {
+        Resources used = Resources.NONE;
         for (Name n : running.keySet()) {
             StepSpec s = World.step(rules, n.job, n.task);
-            used = s == null ? used : used.plus(Room.of(s));
+            used = s == null ? used : used.plus(Resources.of(s));
         }
-        return facts.room().minus(used);
+        return facts.capacity().minus(used);
     }
 
     private void begin(Name n, int run, @Nullable StepSpec step) {
@@ -349,7 +349,7 @@
         firstAnswerAt = Math.min(firstAnswerAt, time.now());
         ends.forEach(e -> e.truth.listed(time.now()));
         return new HoldAnswer(
-                facts.bornMillis(),
+                facts.startMillis(),
                 clock(),
                 running(),
                 ends.stream().map(Ended::report).toList());
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
@@ -20,7 +20,7 @@
 import java.util.Random;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.job.StepSpec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.workspace.KeyDigest;
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.Workspaces;
@@ -126,7 +126,7 @@
     Workspaces configured() {
         List<Workspace> all = states.stream()
                 .map(t -> new Workspace(
-                        t.name, t.hasKey ? List.of(KeyDigest.of(t.key())) : List.of(), 1, new Room(t.cpu, 0, 0)))
+                        t.name, t.hasKey ? List.of(KeyDigest.of(t.key())) : List.of(), 1, new Resources(t.cpu, 0, 0)))
                 .toList();
         Workspaces w = new Workspaces(all, List.of());
         versions.add(new Version(world.time.now(), w));
--- a/model/src/main/java/org/lupinpaddle/model/Site.java
+++ b/model/src/main/java/org/lupinpaddle/model/Site.java
@@ -17,7 +17,7 @@
 
 import java.util.List;
 import org.lupinpaddle.core.ownership.OwnerRank;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /**
  * What a world consists of.
@@ -38,7 +38,7 @@
         List<EntryKind> entryKinds,
         int workers,
         int spares,
-        Room room,
+        Resources room,
         int textBytes) {
 
     /** The site of the seeded histories: small, so that thousands of them can be run. */
@@ -49,7 +49,7 @@
             List.of(new EntryKind(4, OwnerRank.USUAL_CAPACITY, Link.UNLIMITED)),
             8,
             4,
-            new Room(8_000, 16_000, 0),
+            new Resources(8_000, 16_000, 0),
             0);
 
     /** Returns a site of 247 instances in four halls, with texts of this length and this rate of the
@@ -62,7 +62,7 @@
                 List.of(new EntryKind(37, OwnerRank.USUAL_CAPACITY, linkBytesPerMilli)),
                 207,
                 40,
-                new Room(16_000, 32_000, 0),
+                new Resources(16_000, 32_000, 0),
                 textBytes);
     }
 
@@ -75,7 +75,7 @@
                 List.of(new EntryKind(18, 1_500, 25_000), new EntryKind(29, 360, 2_500)),
                 264,
                 42,
-                new Room(16_000, 64_000, 0),
+                new Resources(16_000, 64_000, 0),
                 textBytes);
     }
 
@@ -88,7 +88,7 @@
                 List.of(new EntryKind(9, OwnerRank.USUAL_CAPACITY, linkBytesPerMilli)),
                 250,
                 10,
-                new Room(16_000, 64_000, 0),
+                new Resources(16_000, 64_000, 0),
                 textBytes);
     }
 }
