--- a/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
@@ -30,22 +30,22 @@
 
     // A burst shows within this; the longer window keeps workers through its gaps. Queues with few jobs tell little in
     // the shorter one.
-    private static final long SHORT_MILLIS = 800;
-    private static final long LONG_MILLIS = 3_000;
-    private static final int FEWEST_JOBS = 4;
+    private static final long SHORT_WINDOW_MILLIS = 800;
+    private static final long LONG_WINDOW_MILLIS = 3_000;
+    private static final int MIN_JOBS = 4;
     // Jobs of a queue resemble each other; the mean follows a change within some dozens of them.
-    private static final double LEAST_WEIGHT = 0.04;
+    private static final double MIN_WEIGHT = 0.04;
 
-    private final Map<String, Queue> queues = new HashMap<>();
+    private final Map<String, QueueStatistics> statisticsByQueue = new HashMap<>();
 
     /** What is known of one queue. */
-    private static final class Queue {
+    private static final class QueueStatistics {
         final Deque<Long> acceptedAt = new ArrayDeque<>();
-        final ForgettingMean cpuTime = new ForgettingMean(LEAST_WEIGHT);
-        final ForgettingMean memoryTime = new ForgettingMean(LEAST_WEIGHT);
-        final ForgettingMean acceleratorTime = new ForgettingMean(LEAST_WEIGHT);
+        final ForgettingMean cpuTime = new ForgettingMean(MIN_WEIGHT);
+        final ForgettingMean memoryTime = new ForgettingMean(MIN_WEIGHT);
+        final ForgettingMean acceleratorTime = new ForgettingMean(MIN_WEIGHT);
 
-        void learn(Work w) {
+        void addSample(Work w) {
             cpuTime.add(w.cpuTime);
             memoryTime.add(w.memoryTime);
             acceleratorTime.add(w.acceleratorTime);
@@ -53,13 +53,16 @@
 
         /** Returns jobs a millisecond: by the shorter window where it tells enough, at least by the longer one. */
         double rate(long now) {
-            while (!acceptedAt.isEmpty() && now - acceptedAt.getFirst() > LONG_MILLIS) {
+            while (!acceptedAt.isEmpty() && now - acceptedAt.getFirst() > LONG_WINDOW_MILLIS) {
                 acceptedAt.removeFirst();
             }
-            long lately =
-                    acceptedAt.stream().filter(t -> now - t <= SHORT_MILLIS).count();
-            double longer = (double) acceptedAt.size() / LONG_MILLIS;
-            return lately < FEWEST_JOBS ? longer : Math.max(longer, (double) lately / SHORT_MILLIS);
+            long recentCount = acceptedAt.stream()
+                    .filter(t -> now - t <= SHORT_WINDOW_MILLIS)
+                    .count();
+            double longWindowRate = (double) acceptedAt.size() / LONG_WINDOW_MILLIS;
+            return recentCount < MIN_JOBS
+                    ? longWindowRate
+                    : Math.max(longWindowRate, (double) recentCount / SHORT_WINDOW_MILLIS);
         }
     }
 
@@ -78,18 +81,18 @@
     }
 
     /** Takes in that a queue's job was accepted at a moment. */
-    public void accepted(String queue, long at, Work work) {
-        Queue q = queues.computeIfAbsent(queue, k -> new Queue());
-        q.acceptedAt.addLast(at);
-        q.learn(work);
+    public void onJobAccepted(String queue, long acceptedMillis, Work work) {
+        QueueStatistics q = statisticsByQueue.computeIfAbsent(queue, k -> new QueueStatistics());
+        q.acceptedAt.addLast(acceptedMillis);
+        q.addSample(work);
     }
 
     /** Returns the room that what comes in takes on the mean. */
-    public Resources room(long now) {
+    public Resources averageResources(long now) {
         double cpu = 0;
         double memory = 0;
         double accelerators = 0;
-        for (Queue q : queues.values()) {
+        for (QueueStatistics q : statisticsByQueue.values()) {
             double rate = q.rate(now);
             cpu += rate * q.cpuTime.value();
             memory += rate * q.memoryTime.value();
--- a/core/src/main/java/org/lupinpaddle/core/capacity/DemandTrend.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/DemandTrend.java
@@ -27,26 +27,26 @@
     // Long enough that single jobs do not look like a trend.
     private static final long WINDOW_MILLIS = 1_500;
     // From a report until an instance from the headroom pool takes tasks: 1.5 s of the move, and the calls.
-    private static final long LEAD_MILLIS = 1_800;
+    private static final long LEAD_TIME_MILLIS = 1_800;
     // A burst that has just begun says little of how high it will go.
-    private static final double MOST_FACTOR = 1.6;
+    private static final double MAX_GROWTH_FACTOR = 1.6;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
-    private record Sample(long at, double need) {}
+    private record Sample(long at, double demand) {}
 
     /** Takes in what is needed now, in workers, and returns what will be needed. */
-    public double ahead(long now, double need) {
+    public double forecast(long now, double demand) {
         while (samples.size() > 1 && now - samples.peekFirst().at() > WINDOW_MILLIS) {
             samples.removeFirst();
         }
-        samples.addLast(new Sample(now, need));
+        samples.addLast(new Sample(now, demand));
         Sample oldest = samples.peekFirst();
-        long over = now - oldest.at();
-        if (over < WINDOW_MILLIS / 2 || need <= oldest.need()) {
-            return need;
+        long elapsedMillis = now - oldest.at();
+        if (elapsedMillis < WINDOW_MILLIS / 2 || demand <= oldest.demand()) {
+            return demand;
         }
-        double grown = (need - oldest.need()) / over * LEAD_MILLIS;
-        return Math.min(need + grown, Math.max(need * MOST_FACTOR, need + 1));
+        double growth = (demand - oldest.demand()) / elapsedMillis * LEAD_TIME_MILLIS;
+        return Math.min(demand + growth, Math.max(demand * MAX_GROWTH_FACTOR, demand + 1));
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/capacity/FleetShares.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/FleetShares.java
@@ -36,46 +36,48 @@
      * What a pool asks for, in instances.
      *
      * @param pool its name
-     * @param least what it has in any case
-     * @param firm what it needs so that work ends within its objective, the least included
+     * @param minimum what it has in any case
+     * @param required what it needs so that work ends within its objective, the least included
      * @param late what late work would take besides
-     * @param rest what all other work would take: what is foreseen, and what is too late to count
+     * @param optional what all other work would take: what is foreseen, and what is too late to count
      */
-    public record Claim(String pool, int least, int firm, int late, int rest) {}
+    public record Claim(String pool, int minimum, int required, int late, int optional) {}
 
     /** Returns how many instances each pool is to have; never more in all than there are. */
     public static Map<String, Integer> divide(int instances, List<Claim> claims) {
         Map<String, Integer> shares = new LinkedHashMap<>();
         claims.forEach(c -> shares.put(c.pool(), 0));
-        int left = instances;
-        left -= give(left, claims, Claim::least, shares);
-        left -= give(left, claims, c -> Math.max(0, c.firm() - c.least()), shares);
-        left -= give(left, claims, Claim::late, shares);
-        give(left, claims, Claim::rest, shares);
+        int available = instances;
+        available -= allocate(available, claims, Claim::minimum, shares);
+        available -= allocate(available, claims, c -> Math.max(0, c.required() - c.minimum()), shares);
+        available -= allocate(available, claims, Claim::late, shares);
+        allocate(available, claims, Claim::optional, shares);
         return shares;
     }
 
     /** Gives each pool what it asks for, or its part by the largest remainders; returns how many were given. */
-    private static int give(int left, List<Claim> claims, ToIntFunction<Claim> wish, Map<String, Integer> shares) {
-        int asked = claims.stream().mapToInt(wish).sum();
-        if (asked <= left) {
-            claims.forEach(c -> shares.merge(c.pool(), wish.applyAsInt(c), Integer::sum));
-            return asked;
+    private static int allocate(
+            int available, List<Claim> claims, ToIntFunction<Claim> requestedBy, Map<String, Integer> shares) {
+        int requestedTotal = claims.stream().mapToInt(requestedBy).sum();
+        if (requestedTotal <= available) {
+            claims.forEach(c -> shares.merge(c.pool(), requestedBy.applyAsInt(c), Integer::sum));
+            return requestedTotal;
         }
-        int given = 0;
+        int allocated = 0;
         for (Claim c : claims) {
-            int part = (int) ((long) left * wish.applyAsInt(c) / asked);
-            shares.merge(c.pool(), part, Integer::sum);
-            given += part;
+            int share = (int) ((long) available * requestedBy.applyAsInt(c) / requestedTotal);
+            shares.merge(c.pool(), share, Integer::sum);
+            allocated += share;
         }
         List<Claim> byRemainder = new ArrayList<>(claims);
-        int all = left;
-        byRemainder.sort(Comparator.<Claim>comparingLong(c -> -((long) all * wish.applyAsInt(c) % asked))
+        int availableTotal = available;
+        byRemainder.sort(Comparator.<Claim>comparingLong(
+                        c -> -((long) availableTotal * requestedBy.applyAsInt(c) % requestedTotal))
                 .thenComparing(Claim::pool));
-        for (int i = 0; given < left; i++) {
+        for (int i = 0; allocated < available; i++) {
             shares.merge(byRemainder.get(i).pool(), 1, Integer::sum);
-            given++;
+            allocated++;
         }
-        return given;
+        return allocated;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/DemandReport.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/DemandReport.java
@@ -52,11 +52,11 @@
             add(job, demands);
         }
         Resources usual = usualRoom();
-        double ahead = state.trend.ahead(state.now(), demands.all.need(usual));
-        int needed = (int) Math.max(demands.all.fewest(), Math.ceil(ahead));
-        demands.onTime.flows(state.arrivals.room(state.now()));
-        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(usual)));
-        int late = (int) Math.ceil(demands.late.need(usual));
+        double ahead = state.trend.forecast(state.now(), demands.all.requiredWorkers(usual));
+        int needed = (int) Math.max(demands.all.minWorkers(), Math.ceil(ahead));
+        demands.onTime.setArrivals(state.arrivals.averageResources(state.now()));
+        int firm = (int) Math.max(demands.onTime.minWorkers(), Math.ceil(demands.onTime.requiredWorkers(usual)));
+        int late = (int) Math.ceil(demands.late.requiredWorkers(usual));
         return new ServiceReport(pending, needed, firm, late, loads());
     }
 
@@ -95,7 +95,7 @@
         double widest = 0;
         for (LiveStep s : steps) {
             double cpu = (double) s.room.cpuMillis() * s.open();
-            asked += cpu * Demand.share(state.expectedMillis(s), available);
+            asked += cpu * Demand.requiredTimeShare(state.expectedMillis(s), available);
             widest = Math.max(widest, cpu);
             ready += s.isReady(wall) ? cpu : 0;
         }
@@ -109,15 +109,15 @@
             if (t.phase == Phase.DONE) {
                 continue;
             }
-            demand.spreadOver(t.workersWanted());
+            demand.requireWorkers(t.workersWanted());
             if (s.spec.longRunning()) {
-                demand.addLasting(s.room);
+                demand.addLongRunning(s.room);
             } else {
                 demand.addFinite(s.room, t.leftMillis(expected), available, part, t.phase.onWorker());
             }
         }
         if (s.spec.longRunning() && s.spec.perWorkerMost() > 0) {
-            demand.spreadOver((s.spec.count() + s.spec.perWorkerMost() - 1) / s.spec.perWorkerMost());
+            demand.requireWorkers((s.spec.count() + s.spec.perWorkerMost() - 1) / s.spec.perWorkerMost());
         }
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceScheduler.java
@@ -136,7 +136,7 @@
             }
         }
         long age = Math.max(0, state.wallNow() - job.spec.acceptedMillis());
-        state.arrivals.accepted(job.spec.key().queue(), state.now() - age, work);
+        state.arrivals.onJobAccepted(job.spec.key().queue(), state.now() - age, work);
     }
 
     private void recover(LiveJob job, TaskRecord r) {
--- a/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
@@ -27,37 +27,39 @@
     private final ArrivalRate rate = new ArrivalRate();
 
     /** Jobs of five tasks of one core for a second, each so long after the one before. */
-    private void jobs(long from, int count, long everyMillis) {
+    private void acceptJobs(long from, int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
             ArrivalRate.Work w = new ArrivalRate.Work();
             w.add(new Resources(1_000, 100, 0), 5, 1_000);
-            rate.accepted("q", from + i * everyMillis, w);
+            rate.onJobAccepted("q", from + i * intervalMillis, w);
         }
     }
 
     @Nested
-    class ASteadyLoad {
+    class SteadyLoad {
 
         @Test
-        void takesWhatItsJobsTakeOnTheMean() {
-            jobs(0, 60, 100);
-            assertEquals(50_000, rate.room(5_900).cpuMillis(), 10_000);
+        void requiresTheMeanResourcesOfItsJobs() {
+            acceptJobs(0, 60, 100);
+            assertEquals(50_000, rate.averageResources(5_900).cpuMillis(), 10_000);
         }
     }
 
     @Nested
-    class ABurst {
+    class Burst {
 
         @Test
-        void showsWithinASecond() {
-            jobs(0, 10, 50);
-            assertTrue(rate.room(500).cpuMillis() > 50_000, rate.room(500).toString());
+        void isDetectedWithinASecond() {
+            acceptJobs(0, 10, 50);
+            assertTrue(
+                    rate.averageResources(500).cpuMillis() > 50_000,
+                    rate.averageResources(500).toString());
         }
 
         @Test
-        void thatIsOverIsForgottenWithinSeconds() {
-            jobs(0, 60, 50);
-            assertEquals(0, rate.room(6_100).cpuMillis());
+        void isForgottenWithinSecondsOfItsEnd() {
+            acceptJobs(0, 60, 50);
+            assertEquals(0, rate.averageResources(6_100).cpuMillis());
         }
     }
 
@@ -65,9 +67,11 @@
     class SingleJobs {
 
         @Test
-        void areNoBurst() {
-            jobs(0, 2, 10);
-            assertTrue(rate.room(20).cpuMillis() < 5_000, rate.room(20).toString());
+        void areNotTreatedAsABurst() {
+            acceptJobs(0, 2, 10);
+            assertTrue(
+                    rate.averageResources(20).cpuMillis() < 5_000,
+                    rate.averageResources(20).toString());
         }
     }
 
@@ -75,8 +79,8 @@
     class NoJobs {
 
         @Test
-        void takeNothing() {
-            assertEquals(Resources.NONE, rate.room(1_000));
+        void requireNoResources() {
+            assertEquals(Resources.NONE, rate.averageResources(1_000));
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/capacity/DemandTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/DemandTest.java
@@ -28,51 +28,51 @@
 
     private final Demand demand = new Demand();
 
-    private void finite(int tasks, long leftMillis, long availableMillis, boolean placed) {
+    private void addFiniteTasks(int tasks, long remainingMillis, long availableMillis, boolean placed) {
         for (int i = 0; i < tasks; i++) {
-            demand.addFinite(TASK, leftMillis, availableMillis, 1, placed);
+            demand.addFinite(TASK, remainingMillis, availableMillis, 1, placed);
         }
     }
 
     @Nested
-    class Workers {
+    class RequiredWorkers {
 
         @Test
-        void areFewerWhenThereIsTime() {
-            finite(34, 1_000, 9_200, false);
-            assertEquals(0.5, demand.need(WORKER), 0.01);
+        void areFewerWhenDeadlinesAreFar() {
+            addFiniteTasks(34, 1_000, 9_200, false);
+            assertEquals(0.5, demand.requiredWorkers(WORKER), 0.01);
         }
 
         @Test
-        void areAsManyAsAllTasksTakeAtOnceWhenTheyAreLate() {
-            finite(34, 1_000, 1_000, false);
-            assertEquals(4, demand.need(WORKER), 0.01);
+        void areEnoughForAllTasksAtOnceWhenTheyAreLate() {
+            addFiniteTasks(34, 1_000, 1_000, false);
+            assertEquals(4, demand.requiredWorkers(WORKER), 0.01);
         }
 
         @Test
-        void areNotFewerThanWhatRunsTakes() {
-            finite(34, 1_000, 9_200, true);
-            assertEquals(4, demand.need(WORKER), 0.01);
+        void areNotFewerThanRunningTasksOccupy() {
+            addFiniteTasks(34, 1_000, 9_200, true);
+            assertEquals(4, demand.requiredWorkers(WORKER), 0.01);
         }
 
         @Test
-        void carryWhatLastsBesides() {
+        void includeLongRunningTasks() {
             for (int i = 0; i < 17; i++) {
-                demand.addLasting(TASK);
+                demand.addLongRunning(TASK);
             }
-            assertEquals(2, demand.need(WORKER), 0.01);
+            assertEquals(2, demand.requiredWorkers(WORKER), 0.01);
         }
 
         @Test
-        void areAsManyAsTheTasksMustBeSpreadOver() {
-            demand.addLasting(TASK);
-            demand.spreadOver(3);
-            assertEquals(3, demand.fewest());
+        void areAtLeastTheRequiredSpread() {
+            demand.addLongRunning(TASK);
+            demand.requireWorkers(3);
+            assertEquals(3, demand.minWorkers());
         }
 
         @Test
         void areNoneWithoutWork() {
-            assertEquals(0, demand.need(WORKER), 0.01);
+            assertEquals(0, demand.requiredWorkers(WORKER), 0.01);
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/capacity/DemandTrendTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/DemandTrendTest.java
@@ -26,35 +26,35 @@
     private final DemandTrend trend = new DemandTrend();
 
     /** Tells a need once every 100 ms for a second, from one value to another. */
-    private double told(double from, double to) {
+    private double forecastOf(double from, double to) {
         double ahead = 0;
         for (int i = 0; i <= 10; i++) {
-            ahead = trend.ahead(100L * i, from + (to - from) * i / 10);
+            ahead = trend.forecast(100L * i, from + (to - from) * i / 10);
         }
         return ahead;
     }
 
     @Nested
-    class Ahead {
+    class Forecast {
 
         @Test
-        void growsOnWhileItGrows() {
-            assertTrue(told(4, 8) > 11, "4 more a second, and instances take 1.8 s to come");
+        void extrapolatesGrowth() {
+            assertTrue(forecastOf(4, 8) > 11, "4 more a second, and instances take 1.8 s to come");
         }
 
         @Test
         void isBounded() {
-            assertEquals(16, told(0, 10), 0.01);
+            assertEquals(16, forecastOf(0, 10), 0.01);
         }
 
         @Test
-        void isWhatIsNeededWhileItFalls() {
-            assertEquals(4, told(8, 4), 0.01);
+        void isCurrentDemandWhileDemandFalls() {
+            assertEquals(4, forecastOf(8, 4), 0.01);
         }
 
         @Test
-        void isWhatIsNeededAfterOneSample() {
-            assertEquals(7, trend.ahead(0, 7), 0.01);
+        void isCurrentDemandAfterOneSample() {
+            assertEquals(7, trend.forecast(0, 7), 0.01);
         }
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/capacity/FleetSharesProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/FleetSharesProperties.java
@@ -54,38 +54,40 @@
         return shares.getOrDefault(c.pool(), -1);
     }
 
-    private static int all(FleetShares.Claim c) {
-        return c.firm() + c.late() + c.rest();
+    private static int totalRequested(FleetShares.Claim c) {
+        return c.required() + c.late() + c.optional();
     }
 
     @Property
-    void neverGivesMoreThanThereIsNorMoreThanIsAsked(
+    void neverAllocatesMoreThanAvailableOrRequested(
             @ForAll("claims") List<FleetShares.Claim> claims, @ForAll @IntRange(max = 300) int instances) {
         Map<String, Integer> shares = FleetShares.divide(instances, claims);
-        int asked = claims.stream().mapToInt(FleetSharesProperties::all).sum();
+        int asked =
+                claims.stream().mapToInt(FleetSharesProperties::totalRequested).sum();
         assertEquals(Math.min(instances, asked), sum(shares));
-        claims.forEach(c -> assertTrue(share(shares, c) >= 0 && share(shares, c) <= all(c)));
+        claims.forEach(c -> assertTrue(share(shares, c) >= 0 && share(shares, c) <= totalRequested(c)));
     }
 
     @Property
-    void lateWorkGetsNothingWhileOtherWorkWants(
+    void lateWorkGetsNothingWhileRequiredWorkLacksInstances(
             @ForAll("claims") List<FleetShares.Claim> claims, @ForAll @IntRange(max = 300) int instances) {
         Map<String, Integer> shares = FleetShares.divide(instances, claims);
-        boolean someoneWants = claims.stream().anyMatch(c -> share(shares, c) < c.firm());
-        boolean someoneHasMore = claims.stream().anyMatch(c -> share(shares, c) > c.firm());
-        assertTrue(!someoneWants || !someoneHasMore, shares.toString());
+        boolean anyLacksRequired = claims.stream().anyMatch(c -> share(shares, c) < c.required());
+        boolean anyExceedsRequired = claims.stream().anyMatch(c -> share(shares, c) > c.required());
+        assertTrue(!anyLacksRequired || !anyExceedsRequired, shares.toString());
     }
 
     @Property
-    void whoAsksForMoreGetsNoLess(
+    void aLargerClaimNeverGetsLess(
             @ForAll("claims") List<FleetShares.Claim> claims, @ForAll @IntRange(max = 300) int instances) {
         Map<String, Integer> shares = FleetShares.divide(instances, claims);
         for (FleetShares.Claim a : claims) {
             for (FleetShares.Claim b : claims) {
-                boolean asksForLess =
-                        a.least() <= b.least() && a.firm() - a.least() <= b.firm() - b.least() && a.late() <= b.late();
+                boolean requestsNoMore = a.minimum() <= b.minimum()
+                        && a.required() - a.minimum() <= b.required() - b.minimum()
+                        && a.late() <= b.late();
                 // By one for each kind of claim at the most, where the remainders are alike.
-                assertTrue(!asksForLess || share(shares, a) <= share(shares, b) + 4, shares.toString());
+                assertTrue(!requestsNoMore || share(shares, a) <= share(shares, b) + 4, shares.toString());
             }
         }
     }
