--- a/core/src/main/java/org/lupinpaddle/core/fleet/UpkeepScheduler.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/UpkeepScheduler.java
@@ -67,7 +67,7 @@
         long down = countDown(w);
         Pace pace = pace(w);
         for (PlatformInstance i : candidates(w)) {
-            if (down >= w.most()) {
+            if (down >= w.maxDown()) {
                 break;
             }
             if (mayTakeOut(i, pace)) {
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
@@ -32,15 +32,15 @@
 public record EvacuationRecord(String worker, String instance, String errand, boolean urgent, boolean empty) {
 
     /** Returns the record that lies under the key of a worker, or what is wrong with the text. */
-    public static Either<Unreadable, EvacuationRecord> read(String text, String keyOf) {
+    public static Either<Unreadable, EvacuationRecord> read(String text, String workerOfKey) {
         return RecordCodec.read(text, EvacuationRecord.class)
-                .flatMap(r -> r.worker.equals(keyOf)
+                .flatMap(r -> r.worker.equals(workerOfKey)
                         ? Either.right(r)
                         : Either.left(Unreadable.Reason.NOT_OF_ITS_KEY.in("worker")));
     }
 
     /** Returns the answer: the worker is empty. */
-    public EvacuationRecord toEmpty() {
+    public EvacuationRecord asEmpty() {
         return new EvacuationRecord(worker, instance, errand, urgent, true);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepWave.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepWave.java
@@ -23,6 +23,6 @@
  * @param number names the wave
  * @param instances which instances
  * @param durationMillis in what time, from when it was asked for
- * @param most how many may be down for it at one time
+ * @param maxDown how many may be down for it at one time
  */
-public record UpkeepWave(long number, List<String> instances, long durationMillis, int most) {}
+public record UpkeepWave(long number, List<String> instances, long durationMillis, int maxDown) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -126,7 +126,7 @@
         if (record != null && !record.empty()) {
             answered.put(worker, item.revision());
             Log.info("worker-emptied", "worker", worker, "errand", record.errand());
-            write(worker, item, RecordCodec.write(record.toEmpty()));
+            write(worker, item, RecordCodec.write(record.asEmpty()));
         }
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobQuestions.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobQuestions.java
@@ -196,7 +196,7 @@
             wave.forEach(w -> {
                 UpkeepRecord r = done.getOrDefault(w.number(), new UpkeepRecord(List.of(), false, null));
                 lines.add("wave " + w.number() + "  " + (r.completed() ? "completed" : "running") + "  begun "
-                        + r.begun().size() + " of " + w.instances().size() + ", at most " + w.most() + " at once");
+                        + r.begun().size() + " of " + w.instances().size() + ", at most " + w.maxDown() + " at once");
             });
         }
         return lines.isEmpty() ? List.of("no waves") : lines;
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -355,6 +355,6 @@
                 .map(machines::get)
                 .filter(o -> o != null && o.state == State.UPKEEP)
                 .count();
-        rules.require(Rules.Rule.WAVE, down < w.most(), m.id + " goes down while " + down + " of the wave are");
+        rules.require(Rules.Rule.WAVE, down < w.maxDown(), m.id + " goes down while " + down + " of the wave are");
     }
 }
