--- a/core/src/main/java/org/lupinpaddle/core/wave/FleetStatus.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/FleetStatus.java
@@ -18,21 +18,27 @@
 import java.util.OptionalLong;
 import java.util.Set;
 
-/** What the driver of a wave sees of the fleet beside the configuration. Times are of the driver's clock. */
+/**
+ * The runtime status of the fleet, which a wave's driver needs in addition to the configuration. Times are those
+ * of the driver's clock.
+ */
 public interface FleetStatus {
 
-    /** Returns what a worker last said of itself. */
+    /** Returns the last known status of the worker on an instance. */
     WorkerStatus statusOf(String instance);
 
-    /** Returns the instances that should serve and do not, for long enough to count on it. */
+    /**
+     * Returns the instances that should be in service and have been failing for long enough to be considered
+     * failed.
+     */
     Set<String> failed();
 
-    /** Returns the instances that have not come back from their reboot in time. */
+    /** Returns the instances that have not returned from their reboot in time. */
     Set<String> overdue();
 
-    /** Returns when all entries had confirmed a revision of the configuration, if they have. */
+    /** Returns when the last entry confirmed a revision of the configuration, or empty while some have not. */
     OptionalLong confirmedAt(long revision);
 
-    /** Returns when the platform had accepted to let an instance take work again under this fence, if it has. */
+    /** Returns when the platform accepted an undrain of the instance with this fence, or empty if it has not. */
     OptionalLong undrainedAt(String instance, long fence);
 }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveAction.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveAction.java
@@ -18,28 +18,34 @@
 import org.lupinpaddle.core.instance.ShardRecord;
 import org.lupinpaddle.core.service.ServiceRecord;
 
-/** What the driver of a wave is to do. Each write is a compare-and-swap against the revision it was decided on. */
+/**
+ * An action for a wave's driver. Each write is a compare-and-swap against the revision that the decision was
+ * based on.
+ */
 public sealed interface WaveAction {
 
-    /** Write a service's ledger. */
+    /** Writes the record of a service. */
     record PutService(ServiceRecord next, long expectedRevision) implements WaveAction {}
 
-    /** Write a shard of instances. */
+    /** Writes a shard of instances. */
     record PutShard(String key, ShardRecord next, long expectedRevision) implements WaveAction {}
 
-    /** Write the wave. */
+    /** Writes the record of the wave. */
     record PutWave(WaveRecord next, long expectedRevision) implements WaveAction {}
 
-    /** Ask the platform for a step of maintenance on this incarnation, the fence being the shard's revision. */
+    /**
+     * Requests a maintenance step for this incarnation of a worker. The fence is the revision of the instance's
+     * shard.
+     */
     record Maintain(Step step, String instance, long incarnation, long fence) implements WaveAction {}
 
-    /** The steps of maintenance. */
+    /** The maintenance steps of an instance. */
     enum Step {
-        /** Refuse new work and finish what there is. */
+        /** Refuses new work and completes running work. */
         DRAIN,
-        /** Take work again. */
+        /** Accepts work again. */
         UNDRAIN,
-        /** Restart. */
+        /** Restarts the instance. */
         REBOOT
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveKind.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveKind.java
@@ -15,10 +15,10 @@
  */
 package org.lupinpaddle.core.wave;
 
-/** What a wave does with each instance of its scope. */
+/** The operation that a wave performs on each instance of its scope. */
 public enum WaveKind {
-    /** Drains it, reboots it and puts it back into its pool. */
+    /** Drains the instance, reboots it and returns it to its pool. */
     REBOOT,
-    /** Drains it, reboots it and puts it into another pool. */
+    /** Drains the instance, reboots it and adds it to another pool. */
     MIGRATE
 }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveOrder.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveOrder.java
@@ -18,13 +18,13 @@
 import java.util.Comparator;
 import org.lupinpaddle.core.instance.InstanceRecord;
 
-/** The order in which a wave takes instances out, and how many at once the order itself allows. */
+/** The order in which a wave takes out instances, and the concurrency that the order itself allows. */
 public enum WaveOrder {
-    /** One instance at a time: the least spare capacity, the longest roll-out. */
+    /** Takes out one instance at a time: the least spare capacity, the longest roll-out. */
     ONE_AT_A_TIME(1),
-    /** As many at once as the budgets allow: the shortest roll-out. */
+    /** Takes out as many instances as the budgets allow: the shortest roll-out. */
     WIDE(Integer.MAX_VALUE),
-    /** As wide as the budgets allow, but all of one rack before the next. */
+    /** Takes out as many instances as the budgets allow, but completes one rack before the next. */
     RACK_BY_RACK(Integer.MAX_VALUE);
 
     private final int maxConcurrent;
@@ -33,12 +33,12 @@
         this.maxConcurrent = maxConcurrent;
     }
 
-    /** Returns how many instances may be out at once, budgets aside. */
+    /** Returns the maximum number of instances out at the same time, regardless of budgets. */
     public int maxConcurrent() {
         return maxConcurrent;
     }
 
-    /** Returns whether an instance may start while one of another rack is out. */
+    /** Returns whether an instance may be taken out while an instance of another rack is out. */
     public boolean mixesRacks() {
         return this != RACK_BY_RACK;
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WavePlan.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WavePlan.java
@@ -18,15 +18,15 @@
 import java.util.List;
 
 /**
- * What a wave would do.
+ * The predicted course of a wave.
  *
- * @param steps the instances in their order of work, each with its round and the reason for its place
- * @param blockers what keeps the wave from ever finishing; empty where nothing does
- * @param rounds how many rounds of drain and reboot it takes
- * @param expectedMillis the expected roll-out time
- * @param moves how many instances are drained
- * @param maxConcurrent the most instances out at once
- * @param reserve instances that the services' reserves hold back meanwhile
+ * @param steps the instances in processing order, each with its round and the reason for its position
+ * @param blockers the reasons why the wave can never finish; empty if it can
+ * @param rounds the number of rounds of drain and reboot
+ * @param expectedMillis the expected duration of the roll-out
+ * @param moves the number of instances that are drained
+ * @param maxConcurrent the largest number of instances out at the same time
+ * @param reserve the number of instances held back by the services' reserves during the wave
  */
 public record WavePlan(
         List<Step> steps,
@@ -38,11 +38,11 @@
         int reserve) {
 
     /**
-     * One instance of the plan.
+     * The planned step of one instance.
      *
-     * @param target the instance and where it goes
-     * @param round the round in which it is out, from 1
-     * @param reason why then
+     * @param target the instance and its destination
+     * @param round the round in which it is out, starting at 1
+     * @param reason why it is out in this round
      */
     public record Step(WaveTarget target, int round, String reason) {}
 
--- a/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
@@ -34,13 +34,14 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /**
- * Says beforehand what a wave would do, by going through it in rounds with the same rules that the stepper
- * keeps: budgets and reserves, the order's width, widening only on what came back. A wave that gets stuck
- * with all instances healthy can never finish, and the plan says on which service.
+ * Predicts the course of a wave by simulating it in rounds with the rules of {@link WaveStepper}: budgets and
+ * reserves, the limit of the order, and widening only by instances that returned. If the simulation gets stuck
+ * although all instances are healthy, the wave can never finish, and the plan names the services that block it.
  */
 public final class WavePlanner {
 
-    // A drain and a reboot of the stand-ins; an operator reads the rounds, and scales by the fleet's own times.
+    // The duration of a drain and a reboot of the stand-ins. Operators read the number of rounds and scale it by
+    // the durations of their own fleet.
     private static final long ROUND_MILLIS = 120_000;
 
     private final FleetView view;
@@ -57,7 +58,10 @@
         view.services().values().forEach(s -> members.put(s.name(), s.available(Set.of())));
     }
 
-    /** Returns the targets of a draft in their order of work: those that come in first, then those that leave. */
+    /**
+     * Returns the targets of a draft in processing order: first the spares that join, then the instances that
+     * leave.
+     */
     public static List<WaveTarget> targets(FleetView view, WaveDraft draft) {
         List<InstanceRecord> covered = view.instances().values().stream()
                 .filter(i -> i.state() != InstanceState.RETIRED && draft.scope().covers(i))
@@ -213,7 +217,7 @@
     private InstanceRecord instance(WaveTarget t) {
         InstanceRecord i = view.instances().get(t.instance());
         if (i == null) {
-            throw new IllegalStateException("a target that is no instance: " + t.instance());
+            throw new IllegalStateException("wave target does not exist: " + t.instance());
         }
         return i;
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveRecord.java
@@ -18,18 +18,18 @@
 import java.util.List;
 
 /**
- * What an operator has asked for, and whether it goes on. Progress is not kept here: it is read off the
- * instances' own records, so it can not disagree with them and a step costs no write of the wave.
+ * A wave requested by an operator, and its state. Progress is not stored here but derived from the instance
+ * records, so the two can not disagree and a step needs no write of the wave.
  *
  * @param name the wave's name
- * @param kind what is done with each instance
- * @param scope the instances covered, for the operator to read
- * @param targets the instances in their order of work, fixed when the wave is started
- * @param order the order of work
- * @param state whether it goes on
- * @param reason why it is in this state, in plain words
- * @param operator who gave the last command
- * @param writeId the id of the write that made this value
+ * @param kind the operation performed on each instance
+ * @param scope the instances covered, for display to the operator
+ * @param targets the instances in processing order, fixed when the wave starts
+ * @param order the processing order
+ * @param state the current state
+ * @param reason the reason for the state, in plain text
+ * @param operator the operator who gave the last command
+ * @param writeId the id of the write that created this value
  */
 public record WaveRecord(
         String name,
@@ -47,7 +47,7 @@
         return targets.stream().anyMatch(t -> t.instance().equals(instance));
     }
 
-    /** Returns the wave in another state. */
+    /** Returns a copy of this wave in another state. */
     public WaveRecord withState(WaveState next, String newReason, String newOperator, String newWriteId) {
         return new WaveRecord(name, kind, scope, targets, order, next, newReason, newOperator, newWriteId);
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveScope.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveScope.java
@@ -19,7 +19,7 @@
 import org.lupinpaddle.core.instance.InstanceRecord;
 
 /**
- * Which instances a wave covers: all that match every part that is given.
+ * The instances that a wave covers: those that match all given criteria.
  *
  * @param pool the pool, or null for any
  * @param hall the data hall, or null for any
@@ -37,7 +37,7 @@
                 && (rack == null || rack.equals(i.rack()));
     }
 
-    /** Returns whether no part is given. */
+    /** Returns whether no criterion is given. */
     public boolean isEmpty() {
         return pool == null && hall == null && rack == null;
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveState.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveState.java
@@ -17,15 +17,15 @@
 
 /** The states of a wave. */
 public enum WaveState {
-    /** Takes out instances as the budgets allow. */
+    /** The wave takes out instances as the budgets allow. */
     RUNNING(true, false),
-    /** Takes out no more instances and puts back those that have not reached their reboot. */
+    /** The wave takes out no more instances and returns those that have not reached their reboot. */
     PAUSED(false, false),
-    /** Stopped by itself, since instances did not come back; an operator resumes or cancels it. */
+    /** The wave stopped by itself because instances did not return; an operator resumes or cancels it. */
     HALTED(false, false),
-    /** Ended by an operator. */
+    /** An operator ended the wave. */
     CANCELLED(false, true),
-    /** Every instance in its scope is done. */
+    /** All instances in the scope are done. */
     DONE(false, true);
 
     private final boolean takesOut;
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
@@ -35,21 +35,23 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /**
- * Decides the next steps of a wave from the configuration and what can be seen of the workers, and from
- * nothing else: no step depends on one that a driver remembers, so any entry can take a wave over at any
- * point. Steps of one round go into as few writes as there are records to change.
+ * Decides the next steps of a wave from the configuration and the status of the workers alone. No decision
+ * depends on state that a driver keeps, so any entry can take over a wave at any point. The changes of one pass
+ * are combined into one write per record.
  *
- * <p>The order of writes carries the budget. Out: permit in the ledger, then the instance's state, then the
- * drain, then, once all entries have confirmed the state and the worker is idle, the state again, then the
- * reboot. Back: the instance's state, then the permit. So whoever is out on purpose has a permit, whatever
- * step a driver dies at. An instance that changes pools is struck off the ledger before its pool changes
- * and counted in its new service once it serves there.
+ * <p>The order of writes protects the budget. To take an instance out: write the permit to the service record,
+ * then the instance's state, then drain; once all entries have confirmed the state and the worker is idle, write
+ * the state again, then reboot. To return it: write the instance's state, then remove the permit. An instance
+ * that is out on purpose therefore always has a permit, whichever step a driver fails at. An instance that
+ * changes pools is removed from the members of its service before its pool changes, and is counted as a member of
+ * the new service once it is in service there.
  */
 public final class WaveStepper {
 
-    // The first instance of a wave goes alone; a wave widens only on instances that came back.
+    // The first instance of a wave goes alone. Concurrency then grows only with the number of instances that
+    // returned.
     private static final int WIDENING_FACTOR = 2;
-    // With none back the first that stays away halts the wave, afterwards the second.
+    // Before any instance has returned, one overdue instance halts the wave; afterwards two are needed.
     private static final int OVERDUE_LIMIT = 2;
 
     private final FleetView view;
@@ -74,13 +76,13 @@
         this.writeIds = writeIds;
     }
 
-    /** Returns the next steps of the wave with this name; none where all waits or is settled. */
+    /** Returns the next actions of the named wave; empty if the wave is waiting or finished. */
     public static List<WaveAction> step(FleetView view, String wave, FleetStatus status, Supplier<String> writeIds) {
         WaveRecord record = view.waves().get(wave);
         return record == null ? List.of() : new WaveStepper(view, record, status, writeIds).step();
     }
 
-    /** Returns whether the wave has ended and holds no instance and no permit any more. */
+    /** Returns whether the wave has ended and holds neither an instance nor a permit. */
     public static boolean isSettled(FleetView view, WaveRecord wave) {
         return wave.state().ended() && holdsNoInstanceOrPermit(view, wave);
     }
@@ -226,7 +228,7 @@
             putInstance(i.toBuilder().state(InstanceState.RETURNING).build());
             service.ifPresent(x -> returning.merge(x.name(), 1, Integer::sum));
         } else if (s.reachable() && s.incarnation() != i.incarnation()) {
-            // Restarted by itself while it was leaving: what it was told is forgotten.
+            // The worker restarted on its own while leaving, so it no longer knows that it is draining.
             putInstance(i.toBuilder().incarnation(s.incarnation()).build());
         } else if (!s.leaving()) {
             maintain(WaveAction.Step.DRAIN, i);
@@ -261,8 +263,8 @@
         }
     }
 
-    // The undrain comes first in any case: its fence keeps off a drain that is still on its way, sent by a
-    // driver that was paused. Only a look after it says that the worker takes work and will go on to.
+    // The undrain is sent first in any case: its fence rejects a delayed drain from a driver that was paused.
+    // Only a probe after it proves that the worker accepts work and will continue to.
     private void stepReturning(InstanceRecord i) {
         WorkerStatus s = status.statusOf(i.id());
         OptionalLong undrained = status.undrainedAt(i.id(), fence(i));
@@ -316,7 +318,7 @@
         return floors.computeIfAbsent(s.name(), n -> MemberReconciler.floor(view, s));
     }
 
-    // Those on their way back count as back: else every look would put back one more.
+    // Returning instances count as available, otherwise each pass would return one more.
     private boolean isBelowFloor(ServiceRecord s) {
         return s.available(status.failed()) + returning.getOrDefault(s.name(), 0) < floor(s);
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveTarget.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveTarget.java
@@ -18,9 +18,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One instance of a wave.
+ * An instance targeted by a wave.
  *
  * @param instance the instance's id
- * @param toPool the pool that it goes to, or null where it stays in its own
+ * @param toPool the destination pool, or null if the instance stays in its pool
  */
 public record WaveTarget(String instance, @Nullable String toPool) {}
--- a/core/src/main/java/org/lupinpaddle/core/wave/WorkerStatus.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WorkerStatus.java
@@ -16,20 +16,20 @@
 package org.lupinpaddle.core.wave;
 
 /**
- * What a worker last said of itself to the driver of a wave.
+ * The last status that a worker reported to a wave's driver.
  *
- * @param incarnation counts its starts
+ * @param incarnation the number of times the worker has started
  * @param reachable whether the last probe was answered
- * @param leaving whether it refuses new work
- * @param running how many requests it runs
+ * @param leaving whether the worker refuses new work
+ * @param running the number of running requests
  * @param probedAt when the probe was sent, in milliseconds of the driver's clock
  */
 public record WorkerStatus(long incarnation, boolean reachable, boolean leaving, int running, long probedAt) {
 
-    /** A worker that was never seen. */
+    /** The status of a worker that was never probed. */
     public static final WorkerStatus NONE = new WorkerStatus(0, false, false, 0, Long.MIN_VALUE);
 
-    /** Returns whether the worker is idle and will stay so, as seen after {@code minProbeMillis}. */
+    /** Returns whether a probe sent after {@code minProbeMillis} found the worker idle and refusing new work. */
     public boolean isDrainedSince(long minProbeMillis) {
         return reachable && leaving && running == 0 && probedAt > minProbeMillis;
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/package-info.java
@@ -1,4 +1,4 @@
-/** One wave of maintenance or migration: its record, its plan, and the steps that carry it out. */
+/** Maintenance and migration waves: their records, their plans, and the steps that carry them out. */
 @NullMarked
 package org.lupinpaddle.core.wave;
 
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeDriver.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeDriver.java
@@ -24,7 +24,7 @@
 import java.util.TreeMap;
 import org.lupinpaddle.core.view.FleetView;
 
-/** One driver with its own view of the configuration, its own looks at workers, and steps it has decided on. */
+/** A driver with its own view of the configuration, its own probes of the workers, and pending actions. */
 final class FakeDriver implements FleetStatus {
 
     final FleetView view = new FleetView();
@@ -57,7 +57,7 @@
         overdue = newOverdue;
     }
 
-    /** Forgets all that is not in the store, as a new process does. */
+    /** Discards all state that is not in the store, like a new process. */
     void restart() {
         pendingActions.clear();
         statuses.clear();
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeStore.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeStore.java
@@ -23,7 +23,7 @@
 import org.lupinpaddle.core.view.FleetView;
 import org.lupinpaddle.core.view.StoredRecord;
 
-/** The platform's store at the interface: compare-and-swap and reading what was written since. */
+/** A fake of the platform's store: compare-and-swap, and reads of all records written since a revision. */
 final class FakeStore {
 
     private final Map<String, StoredRecord> records = new TreeMap<>();
@@ -38,7 +38,10 @@
         return true;
     }
 
-    /** Writes without comparing, as no part of the product does: to see that a test would notice. */
+    /**
+     * Writes unconditionally, which production code never does. Used for set-up and to show that the tests detect
+     * lost updates.
+     */
     void put(String key, Object value) {
         revision++;
         writes++;
@@ -54,7 +57,7 @@
         return writes;
     }
 
-    /** Brings a view up to what the store holds now. */
+    /** Applies all newer records to a view. */
     void sync(FleetView view) {
         List<StoredRecord> above = new ArrayList<>();
         long from = view.revision();
--- a/core/src/test/java/org/lupinpaddle/core/wave/FakeWorker.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FakeWorker.java
@@ -15,7 +15,7 @@
  */
 package org.lupinpaddle.core.wave;
 
-/** One worker and what the platform knows of it. */
+/** A worker and the platform's state of it. */
 final class FakeWorker {
 
     final String id;
@@ -31,7 +31,10 @@
         this.id = id;
     }
 
-    /** Carries out a step as the platform does: an old incarnation or fence is refused. */
+    /**
+     * Performs a maintenance step like the platform: requests for an old incarnation or with an old fence are
+     * refused.
+     */
     boolean maintain(WaveAction.Maintain m) {
         if (m.incarnation() != incarnation || m.fence() < fence || !up) {
             return false;
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
@@ -36,8 +36,8 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /**
- * Prints roll-out time, moves, buffer and store writes of full waves and migrations at today's sizes, one
- * look of the driver a second of virtual time. Arguments are seeds; figures are means over the seeds.
+ * Prints roll-out time, moves, buffer and store writes of full waves and migrations at today's sizes, with one
+ * driver pass per second of virtual time. Arguments are seeds; figures are means over the seeds.
  */
 public final class FleetExperiment {
 
@@ -48,7 +48,7 @@
     private static final int LIMIT_SECONDS = 40_000;
     private static final int FAILED_SECONDS = 300;
 
-    /** How long the work in progress on an instance still runs when it starts to leave, at most. */
+    /** The maximum remaining run time of work on an instance when it starts to leave. */
     private enum Deployment {
         /** Transcodes of archive recordings run for minutes. */
         RADIO(300),
@@ -91,7 +91,7 @@
                 store.put(StoreKeys.service(name), ServiceRecord.create(name, BUDGET, reserve, "m", "m"));
                 store.put(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "m", "m"));
                 for (int w = 0; w < WORKERS; w++) {
-                    // Four halls; four workers to a rack, so two of a service share one.
+                    // Four halls with four workers per rack, so two workers of a service share a rack.
                     instance(name + "w" + w, name, "hall" + w % 4, "rack" + (s * WORKERS + w / 4) / 4 % 3);
                 }
             }
@@ -140,7 +140,7 @@
                     new WaveRecord("w", WaveKind.REBOOT, scope, targets, order, WaveState.RUNNING, "", "m", "m"));
         }
 
-        /** Returns the seconds until the wave was done, or the limit where it never was. */
+        /** Returns the number of seconds until the wave was done, or the limit if it was not. */
         private int run(int failAt, int failures) {
             for (int t = 0; t < LIMIT_SECONDS; t++) {
                 if (t == failAt) {
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetSimulation.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetSimulation.java
@@ -35,26 +35,27 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /**
- * Two services, their workers, a few entries and two drivers that all race each other over one store. The
- * order of everything comes from a seed. A rule can be switched off, to see that the check would notice.
+ * Simulates services, their workers, several entries and two drivers that race each other over one store. The
+ * order of events comes from a seed. Single rules can be disabled to show that the invariant checks detect the
+ * violation.
  */
 final class FleetSimulation {
 
-    /** What may go wrong in a run. */
+    /** The faults that can be injected. */
     enum Fault {
-        /** Drivers are paused between deciding and acting, and their views lag. */
+        /** Drivers pause between deciding and acting, and their views lag. */
         PAUSED_DRIVERS,
         /** Drivers are replaced by new processes. */
         KILLED_DRIVERS,
-        /** The store loses the driver's writes or their replies, which is all one to a driver that looks anew. */
+        /** The store loses writes or their replies; both look the same to a driver that reads again. */
         LOST_WRITES,
-        /** Workers die and come back by themselves. */
+        /** Workers fail and restart by themselves. */
         FAILING_WORKERS,
-        /** Operators pause, resume and change budgets at any moment. */
+        /** Operators pause and resume waves and change budgets at any time. */
         BUSY_OPERATORS
     }
 
-    /** A rule of the product, switched off. */
+    /** A rule of the implementation that can be disabled. */
     enum DisabledRule {
         COMPARE_AND_SWAP,
         SPENT_PERMITS,
@@ -89,19 +90,19 @@
         }
     }
 
-    /** Makes a service with a pool of its own. */
+    /** Adds a service with its own pool. */
     void service(String name, int budget, Reserve reserve) {
         initialBudgets.put(name, budget);
         store.put(StoreKeys.service(name), ServiceRecord.create(name, budget, reserve, "test", "w0"));
         store.put(StoreKeys.pool(name), new PoolRecord(name, name, "a", false, "test", "w0"));
     }
 
-    /** Makes a pool of spare instances. */
+    /** Adds a pool of spare instances. */
     void sparePool(String name) {
         store.put(StoreKeys.pool(name), new PoolRecord(name, null, "b", false, "test", "w0"));
     }
 
-    /** Adds an instance; it is a member of its service at once. */
+    /** Adds an instance, which is a member of its service immediately. */
     void instance(String id, String pool, String rack) {
         workers.put(id, new FakeWorker(id));
         FleetView v = store.view();
@@ -122,7 +123,7 @@
         store.put(StoreKeys.wave(w.name()), w);
     }
 
-    /** Lets everything happen in some order for some steps; fails at the first broken promise. */
+    /** Runs random steps and checks the invariants after each. */
     void run(int steps) {
         checkInvariants();
         for (int i = 0; i < steps; i++) {
@@ -132,7 +133,10 @@
         }
     }
 
-    /** Lets everything happen until drivers have acted so often, then replaces all drivers by new processes. */
+    /**
+     * Runs random steps until drivers have performed this many actions, then replaces all drivers by new
+     * processes.
+     */
     void killDriversAfter(int actions) {
         while (actionCount < actions && !isSettled("full")) {
             now++;
@@ -142,7 +146,7 @@
         drivers.forEach(FakeDriver::restart);
     }
 
-    /** Returns how often drivers have acted. */
+    /** Returns the number of actions that drivers have performed. */
     int actionCount() {
         return actionCount;
     }
@@ -152,7 +156,7 @@
         return w != null && WaveStepper.isSettled(store.view(), w);
     }
 
-    /** Ends all trouble and runs on until the wave has ended, or fails after so many steps. */
+    /** Ends all faults and runs until the wave has ended; fails after the given number of steps. */
     void settle(String wave, int steps) {
         faults.clear();
         workers.values().stream().filter(w -> !w.up && !w.neverReturns).forEach(FakeWorker::restart);
@@ -245,7 +249,7 @@
         }
     }
 
-    // With the rule off a permit that is not wanted is struck off in one step, its instance not asked.
+    // With the rule disabled, an unneeded permit is removed in one step, without asking its instance.
     private void putShard(FakeDriver d, WaveAction.PutShard p) {
         if (disabledRule == DisabledRule.SPENT_PERMITS) {
             for (InstanceRecord i : p.next().instances().values()) {
@@ -280,7 +284,8 @@
     private void sendWork(FleetView entry) {
         FakeWorker w = pickWorker();
         InstanceRecord i = entry.instances().get(w.id);
-        // With the rule off the worker does not refuse either: only the entries' confirmation is left.
+        // With the rule disabled the worker does not refuse work either, so only the confirmation by the entries
+        // is left.
         boolean refuses = w.leaving && disabledRule != DisabledRule.CONFIRMATION_AND_IDLE;
         if (i != null && i.state().takesWork() && w.up && !refuses && w.running < 8) {
             w.running++;
@@ -360,17 +365,17 @@
         store.sync(currentView);
         FleetView v = currentView;
         for (ServiceRecord s : v.services().values()) {
-            // Counted is what serves unless it failed by itself: a failure is not of the system's doing.
+            // Workers that failed by themselves still count, because the system does not cause those failures.
             long serving = v.instancesOf(s.name()).stream()
                     .filter(i -> i.state() == InstanceState.IN_SERVICE)
                     .filter(i -> !Objects.requireNonNull(workers.get(i.id())).leaving)
                     .count();
             if (serving < s.budget()) {
-                throw new AssertionError("below budget, " + serving + " serve: " + describe());
+                throw new AssertionError("below budget, " + serving + " in service: " + describe());
             }
         }
         if (interruptedRequests > 0) {
-            throw new AssertionError("a reboot cut off work: " + describe());
+            throw new AssertionError("a reboot interrupted running requests: " + describe());
         }
         long inPools = v.instances().values().stream()
                 .filter(i -> v.pools().containsKey(i.pool()))
--- a/core/src/test/java/org/lupinpaddle/core/wave/StepTimingExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/StepTimingExperiment.java
@@ -27,7 +27,7 @@
 import org.lupinpaddle.core.service.ServiceRecord;
 import org.lupinpaddle.core.view.FleetView;
 
-/** Times one look of a wave's driver over a whole fleet, at three sizes, in one run. */
+/** Measures the duration of one decision pass of a wave's driver over a whole fleet, for three fleet sizes. */
 public final class StepTimingExperiment {
 
     private static final int POOL_SIZE = 8;
@@ -35,7 +35,7 @@
 
     private StepTimingExperiment() {}
 
-    /** Prints the table. */
+    /** Prints the results as a table. */
     public static void main(String[] args) {
         System.out.println(
                 "| instances in the wave | pools | ms a look, mean of " + STEPS + " | largest shard, bytes |");
--- a/core/src/test/java/org/lupinpaddle/core/wave/WaveStepperProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/WaveStepperProperties.java
@@ -34,7 +34,7 @@
 import org.lupinpaddle.core.wave.FleetSimulation.DisabledRule;
 import org.lupinpaddle.core.wave.FleetSimulation.Fault;
 
-/** Waves under races: whatever the order of things, budgets hold, no work is cut off, and waves end. */
+/** Tests waves under races: in any order of events, budgets hold, no work is interrupted, and waves end. */
 class WaveStepperProperties {
 
     private static final int STEPS = 1_500;
@@ -135,11 +135,11 @@
             w.run(5_000);
             assertTrue(
                     w.maxConcurrentReboots() <= 1,
-                    "the first of a wave goes alone, but " + w.maxConcurrentReboots() + " went");
+                    "the first instance of a wave must go alone, but " + w.maxConcurrentReboots() + " were rebooted");
         }
     }
 
-    /** Each rule switched off in turn: the same checks must notice. */
+    /** Disables one rule at a time: the invariant checks must detect the violation. */
     @Group
     class ViolationDetection {
 
