--- a/core/src/main/java/org/lupinpaddle/core/placement/Candidate.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Candidate.java
@@ -15,27 +15,30 @@
  */
 package org.lupinpaddle.core.placement;
 
-/** A worker as placement sees it. */
+/** A worker that may be chosen for a task. */
 public interface Candidate {
 
-    /** Returns what the worker says of itself. */
+    /** Returns the properties that the worker reports. */
     WorkerFacts facts();
 
-    /** Returns the room that nothing takes, what is being stopped counted as taken. */
+    /** Returns the free resources. Tasks that are being stopped still count as using theirs. */
     Resources free();
 
-    /** Returns whether the worker carries tasks that last. */
+    /** Returns whether the worker runs a long-running task. */
     boolean runsLongRunningTask();
 
-    /** Returns whether the worker carries a task under which another worker has crashed. */
+    /** Returns whether the worker runs a task during which another worker crashed. */
     boolean runsSuspectTask();
 
-    /** Returns whether the worker carries nothing. */
+    /** Returns whether the worker runs no task. */
     boolean isIdle();
 
-    /** Returns how many tasks of one time of a step the worker carries. */
+    /** Returns the number of tasks of one step repetition on the worker. */
     int taskCount(StepRepetition step);
 
-    /** Returns whether the run that ended last on the worker ended well; runs that an order has ended do not count. */
+    /**
+     * Returns whether the last completed run on the worker succeeded. Runs that were stopped by an order are
+     * ignored.
+     */
     boolean lastRunSucceeded();
 }
--- a/core/src/main/java/org/lupinpaddle/core/placement/Colocation.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Colocation.java
@@ -16,25 +16,26 @@
 package org.lupinpaddle.core.placement;
 
 /**
- * Beside what a task may be put. A task under which a worker has crashed may have crashed it, and takes down what runs beside
- * it if it does so again; and only apart from others like it can it be told from those that merely stood there.
+ * Restricts the tasks that a task may share a worker with. A task during which a worker crashed may have caused
+ * the crash; if it crashes the next worker too, it takes down the tasks beside it. Only when it runs apart from
+ * other suspects can it be told from tasks that merely ran on the same worker.
  */
 public enum Colocation {
-    /** Beside anything; rather not beside a suspect. */
+    /** Any other task, though workers without suspects are preferred. */
     ANY {
         @Override
         boolean allows(Candidate c) {
             return true;
         }
     },
-    /** Beside no other suspect. */
+    /** No other suspect task. */
     NO_OTHER_SUSPECT {
         @Override
         boolean allows(Candidate c) {
             return !c.runsSuspectTask();
         }
     },
-    /** Beside nothing at all. */
+    /** No other task. */
     EXCLUSIVE {
         @Override
         boolean allows(Candidate c) {
@@ -42,6 +43,6 @@
         }
     };
 
-    /** Returns whether a task with this wish may join what the worker carries. */
+    /** Returns whether a task with this restriction may be added to the worker. */
     abstract boolean allows(Candidate c);
 }
--- a/core/src/main/java/org/lupinpaddle/core/placement/PlacementRequest.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/PlacementRequest.java
@@ -19,16 +19,16 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /**
- * What is to be placed.
+ * A request to place one task.
  *
- * @param step the task's step
- * @param repetition names the step's tasks of one time
+ * @param step the step of the task
+ * @param repetition the step repetition that the task belongs to
  * @param avoidWorkers workers on which the task has failed
- * @param excludeAvoidedWorkers whether those workers are out of the question for now
- * @param avoidDomains racks on which it had better not be tried again
- * @param colocation beside what it had better run
- * @param requireColocation whether other workers are out of the question for now
- * @param requireProvenWorker whether only workers come into question on which something has ended well
+ * @param excludeAvoidedWorkers whether those workers are currently excluded instead of only being less preferred
+ * @param avoidDomains failure domains in which the task should preferably not be retried
+ * @param colocation the tasks it should share a worker with
+ * @param requireColocation whether workers that violate {@code colocation} are currently excluded
+ * @param requireProvenWorker whether only workers whose last run succeeded are eligible
  */
 public record PlacementRequest(
         StepSpec step,
--- a/core/src/main/java/org/lupinpaddle/core/placement/Placer.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Placer.java
@@ -20,22 +20,23 @@
 import java.util.Optional;
 
 /**
- * Chooses the worker for a task. Room, label and the most tasks of a step on one worker are conditions;
- * earlier failures, the rack of the data and the load are preferences, in this order. Lasting tasks of a step are spread,
- * over workers that carry such tasks already: moving them is slow, so the other workers stay free to leave.
- * Finite ones are packed: they do not slow one another down, and workers that run nothing can leave the pool. What may have
- * crashed a worker is spread too, and others rather keep away from it.
+ * Chooses the worker for a task. Resources, label and the limit of tasks of a step per worker are hard
+ * conditions. Earlier failures, the rack of the data and the load are preferences, in this order.
+ *
+ * <p>Long-running tasks of a step are spread over workers that already run such tasks: moving them is slow, so
+ * the other workers stay free to leave. Finite tasks are packed: they do not slow one another down, and idle
+ * workers can leave the pool. Suspect tasks are spread too, and other tasks avoid their workers.
  */
 public final class Placer {
 
     private Placer() {}
 
-    /** Returns the best of the candidates that may carry the task, or nothing. */
+    /** Returns the best eligible candidate, or empty if there is none. */
     public static <C extends Candidate> Optional<C> choose(Collection<C> candidates, PlacementRequest request) {
         return candidates.stream().filter(c -> isEligible(c, request)).min(preference(request));
     }
 
-    /** Returns whether the worker may carry one more task of this kind. */
+    /** Returns whether the worker may run one more task of this kind. */
     public static boolean isEligible(Candidate c, PlacementRequest request) {
         int maxPerWorker = request.step().perWorkerMost();
         return c.free().canHold(Resources.of(request.step()))
@@ -60,7 +61,10 @@
                 .thenComparing(c -> c.facts().id());
     }
 
-    /** Returns whether the least loaded worker is the best: what crashes its worker is to take little with it. */
+    /**
+     * Returns whether the least loaded worker is preferred, so that a suspect that crashes its worker takes down
+     * few other tasks.
+     */
     private static boolean prefersLeastLoaded(PlacementRequest request) {
         return request.step().longRunning() || request.colocation() != Colocation.ANY;
     }
--- a/core/src/main/java/org/lupinpaddle/core/placement/Resources.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/Resources.java
@@ -18,21 +18,24 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /**
- * An amount of what a worker offers.
+ * An amount of worker resources.
  *
  * @param cpuMillis thousandths of a core
- * @param memoryMb megabytes
+ * @param memoryMb megabytes of memory
  * @param accelerators whole accelerators
  */
 public record Resources(long cpuMillis, long memoryMb, long accelerators) {
 
-    // What asks for nothing of a kind is not limited by it.
+    // A task that requests none of a resource is not limited by it.
     private static final long UNLIMITED_COUNT = 1_000_000;
 
-    /** Nothing. */
+    /** No resources. */
     public static final Resources NONE = new Resources(0, 0, 0);
 
-    /** Returns what one task of the step takes of a worker; what fills takes no processor time of its own. */
+    /**
+     * Returns the resources that one task of the step uses on a worker. A filler task uses no processor time of
+     * its own.
+     */
     public static Resources of(StepSpec step) {
         StepSpec.Need n = step.need();
         return new Resources(step.fills() ? 0 : n.cpuMillis(), n.memoryMb(), n.accelerators());
@@ -53,7 +56,7 @@
         return new Resources(cpuMillis * count, memoryMb * count, accelerators * count);
     }
 
-    /** Returns the larger one of each kind. */
+    /** Returns the component-wise maximum. */
     public Resources componentMax(Resources other) {
         return new Resources(
                 Math.max(cpuMillis, other.cpuMillis),
@@ -61,12 +64,12 @@
                 Math.max(accelerators, other.accelerators));
     }
 
-    /** Returns whether {@code other} fits into this. */
+    /** Returns whether {@code other} fits into these resources. */
     public boolean canHold(Resources other) {
         return cpuMillis >= other.cpuMillis && memoryMb >= other.memoryMb && accelerators >= other.accelerators;
     }
 
-    /** Returns how many times {@code one} fits into this. */
+    /** Returns how many times {@code one} fits into these resources. */
     public long countOf(Resources one) {
         return Math.min(
                 times(cpuMillis, one.cpuMillis),
--- a/core/src/main/java/org/lupinpaddle/core/placement/StepRepetition.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/StepRepetition.java
@@ -18,10 +18,10 @@
 import org.lupinpaddle.core.job.JobKey;
 
 /**
- * One time of one step of a job: the tasks whose spread over workers is limited together.
+ * One repetition of a step of a job. The limit of tasks per worker applies to the tasks of one repetition.
  *
  * @param job the job
- * @param repetition which repetition
- * @param step which step
+ * @param repetition the index of the repetition
+ * @param step the index of the step
  */
 public record StepRepetition(JobKey job, int repetition, int step) {}
--- a/core/src/main/java/org/lupinpaddle/core/placement/WorkerFacts.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/WorkerFacts.java
@@ -18,16 +18,16 @@
 import java.util.List;
 
 /**
- * What a worker says of itself in the platform's store.
+ * The properties that a worker reports in the platform's store.
  *
- * @param id names the worker; a restart may keep it
- * @param startMillis when this life started, see {@link WorkerIncarnation}
+ * @param id the worker's id, which may stay the same across a restart
+ * @param startMillis when this incarnation started, see {@link WorkerIncarnation}
  * @param service the service whose pool it belongs to
- * @param address IP and port
- * @param hall the data hall it stands in
- * @param draining whether it is about to end and takes no new work
- * @param remainingMillis the least time until it ends, while it drains; 0 where it did not say
- * @param capacity what it offers in all
+ * @param address IP address and port
+ * @param hall the data hall of the worker
+ * @param draining whether it is about to end and accepts no new work
+ * @param remainingMillis the minimum time until it ends while draining; 0 if not reported
+ * @param capacity its total resources
  * @param labels its kind and its rack
  */
 public record WorkerFacts(
@@ -41,7 +41,7 @@
         Resources capacity,
         List<String> labels) {
 
-    /** Makes the facts of a worker that does not state its birth. */
+    /** Creates the properties of a worker that does not report its start time. */
     public WorkerFacts(
             String id,
             String service,
@@ -54,17 +54,20 @@
         this(id, WorkerIncarnation.UNKNOWN_START, service, address, hall, draining, remainingMillis, capacity, labels);
     }
 
-    /** Returns which life of the worker these facts are of. */
+    /** Returns the incarnation that these properties belong to. */
     public WorkerIncarnation incarnation() {
         return new WorkerIncarnation(id, startMillis);
     }
 
-    /** Returns whether the worker has the label; every worker has the empty one. */
+    /** Returns whether the worker has the label. Every worker has the empty label. */
     public boolean hasLabel(String label) {
         return label.isEmpty() || labels.contains(label);
     }
 
-    /** Returns what tells its rack from others: the hall and all labels, for which label is the rack is not said. */
+    /**
+     * Returns an identifier of the worker's rack. It consists of the hall and all labels, because the platform
+     * does not say which label is the rack.
+     */
     public String failureDomain() {
         return hall + "/" + String.join("/", labels);
     }
--- a/core/src/main/java/org/lupinpaddle/core/placement/WorkerIncarnation.java
+++ b/core/src/main/java/org/lupinpaddle/core/placement/WorkerIncarnation.java
@@ -16,31 +16,38 @@
 package org.lupinpaddle.core.placement;
 
 /**
- * One life of a worker. A worker that restarts may keep its id; the time of its start tells its lives apart.
+ * One incarnation of a worker: its process from start to end. A worker that restarts may keep its id; the start
+ * time distinguishes its incarnations.
  *
- * @param id the worker's id, which may outlive a restart
- * @param startMillis when this life started, in milliseconds since 1970 by its host's clock; {@link #UNKNOWN_BIRTH} or
- *     {@link #UNREADABLE_BIRTH} where nobody can tell
+ * @param id the worker's id, which may stay the same across a restart
+ * @param startMillis when this incarnation started, in milliseconds since 1970 by its host's clock; {@link
+ *     #UNKNOWN_START} or {@link #UNREADABLE_START} if not known
  */
 public record WorkerIncarnation(String id, long startMillis) {
 
-    /** The birth of a worker that states none. */
+    /** The start time of a worker that does not report one. */
     public static final long UNKNOWN_START = 0;
 
-    /** Stands for a birth that is stated and is not a positive whole number; it proves as little as an unknown one. */
+    /**
+     * The start time of a worker whose reported value is not a positive whole number. It proves as little as an
+     * unknown start time.
+     */
     public static final long UNREADABLE_START = -1;
 
-    /** Returns whether the worker has stated when this life started. */
+    /** Returns whether the start time of this incarnation is known. */
     public boolean hasStartTime() {
         return startMillis > UNKNOWN_START;
     }
 
-    /** Returns whether this is another life of the same worker for certain; unknown births prove nothing. */
+    /**
+     * Returns whether this is certainly another incarnation of the same worker. Unknown start times prove
+     * nothing.
+     */
     public boolean isKnownToDifferFrom(WorkerIncarnation other) {
         return hasStartTime() && other.hasStartTime() && startMillis != other.startMillis;
     }
 
-    /** Returns whether this life started after the other. */
+    /** Returns whether this incarnation started after the other. */
     public boolean isLaterThan(WorkerIncarnation other) {
         return isKnownToDifferFrom(other) && startMillis > other.startMillis;
     }
