--- a/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
@@ -23,22 +23,23 @@
 import org.lupinpaddle.core.placement.Resources;
 
 /**
- * How much finite work comes in, by what was accepted lately: what a service has to carry all the time so that nothing
- * piles up. What waits says the same only once it has piled up, and forgets it when the jobs have become late.
+ * Estimates the resources that arriving finite work requires continuously so that no backlog builds up, from the
+ * jobs accepted recently. The backlog itself shows the same only after it has built up, and no longer shows it
+ * once its jobs are late.
  */
 public final class ArrivalRate {
 
-    // A burst shows within this; the longer window keeps workers through its gaps. Queues with few jobs tell little in
-    // the shorter one.
+    // A burst is visible within the short window; the long window keeps workers through its gaps. For queues with
+    // few jobs, the short window is not representative.
     private static final long SHORT_WINDOW_MILLIS = 800;
     private static final long LONG_WINDOW_MILLIS = 3_000;
     private static final int MIN_JOBS = 4;
-    // Jobs of a queue resemble each other; the mean follows a change within some dozens of them.
+    // Jobs of a queue are similar; with this weight the mean follows a change within some dozens of jobs.
     private static final double MIN_WEIGHT = 0.04;
 
     private final Map<String, QueueStatistics> statisticsByQueue = new HashMap<>();
 
-    /** What is known of one queue. */
+    /** The arrivals and mean job sizes of one queue. */
     private static final class QueueStatistics {
         final Deque<Long> acceptedAt = new ArrayDeque<>();
         final ForgettingMean cpuTime = new ForgettingMean(MIN_WEIGHT);
@@ -51,7 +52,10 @@
             acceleratorTime.add(w.acceleratorTime);
         }
 
-        /** Returns jobs a millisecond: by the shorter window where it tells enough, at least by the longer one. */
+        /**
+         * Returns the arrival rate in jobs per millisecond: the rate of the short window if it has enough jobs,
+         * but at least that of the long window.
+         */
         double rate(long now) {
             while (!acceptedAt.isEmpty() && now - acceptedAt.getFirst() > LONG_WINDOW_MILLIS) {
                 acceptedAt.removeFirst();
@@ -66,13 +70,13 @@
         }
     }
 
-    /** How much room a job takes, for how long: room times milliseconds. */
+    /** The work of a job: resources times milliseconds. */
     public static final class Work {
         private double cpuTime;
         private double memoryTime;
         private double acceleratorTime;
 
-        /** Adds tasks that take this room for so long. */
+        /** Adds tasks that use these resources for the given time. */
         public void add(Resources each, int tasks, long millis) {
             cpuTime += (double) each.cpuMillis() * tasks * millis;
             memoryTime += (double) each.memoryMb() * tasks * millis;
@@ -80,14 +84,14 @@
         }
     }
 
-    /** Takes in that a queue's job was accepted at a moment. */
+    /** Records that a job of a queue was accepted. */
     public void onJobAccepted(String queue, long acceptedMillis, Work work) {
         QueueStatistics q = statisticsByQueue.computeIfAbsent(queue, k -> new QueueStatistics());
         q.acceptedAt.addLast(acceptedMillis);
         q.addSample(work);
     }
 
-    /** Returns the room that what comes in takes on the mean. */
+    /** Returns the mean resources that arriving work uses. */
     public Resources averageResources(long now) {
         double cpu = 0;
         double memory = 0;
--- a/core/src/main/java/org/lupinpaddle/core/capacity/Demand.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/Demand.java
@@ -17,39 +17,40 @@
 
 import org.lupinpaddle.core.placement.Resources;
 
-/** Adds up what a service's work asks for, and says how many workers of one size that takes. */
+/** Sums the demand of a service's work and converts it into a number of workers of one size. */
 public final class Demand {
 
-    // Tasks do not fill a worker to the brim: what is left over is too small for the next one.
+    // Tasks do not fill a worker completely: the remainder is too small for the next task.
     private static final int USABLE_PERCENT = 85;
     private static final int FULL_PERCENT = 100;
-    // Work is spread over the time that its job still has, less this: instances take as long to come, and what is
-    // not foreseen takes its part.
+    // Work is spread over the remaining time of its job less this margin, which covers the time that instances
+    // take to arrive and unforeseen delays.
     private static final long SAFETY_MARGIN_MILLIS = 1_200;
     private static final long MIN_AVAILABLE_MILLIS = 500;
 
     private Resources running = Resources.NONE;
     private Resources longRunning = Resources.NONE;
     private Resources arrivals = Resources.NONE;
-    // What finite work takes all the time, so that it ends when it should.
+    // The continuous resource use of finite work that meets its deadlines.
     private double cpuMillis;
     private double memoryMb;
     private double accelerators;
     private int minWorkers;
 
-    /** Adds a task that lasts. */
+    /** Adds a long-running task. */
     public void addLongRunning(Resources resources) {
         longRunning = longRunning.plus(resources);
     }
 
     /**
-     * Adds a task that ends.
+     * Adds a finite task.
      *
-     * @param resources what it takes of a worker
-     * @param remainingMillis how long it still runs, by what is expected
-     * @param availableMillis within which time its job is to be done
-     * @param parallelFraction of all that its job's steps take, what they can take at one time: steps wait for each other
-     * @param placed whether it has a worker already
+     * @param resources the resources that it uses
+     * @param remainingMillis its expected remaining run time
+     * @param availableMillis the time until its job is due
+     * @param parallelFraction the fraction of the work of all steps of its job that can run at the same time,
+     *     since steps wait for each other
+     * @param placed whether it has been assigned to a worker
      */
     public void addFinite(
             Resources resources, long remainingMillis, long availableMillis, double parallelFraction, boolean placed) {
@@ -62,23 +63,23 @@
         }
     }
 
-    /** Returns which part of the time a task must run so that it ends in time; at most all of it. */
+    /** Returns the fraction of the available time for which a task must run to end in time, at most 1. */
     public static double requiredTimeShare(long remainingMillis, long availableMillis) {
         return Math.min(
                 1, (double) remainingMillis / Math.max(MIN_AVAILABLE_MILLIS, availableMillis - SAFETY_MARGIN_MILLIS));
     }
 
-    /** Takes in the room that what comes in takes all the time. */
+    /** Sets the mean resources that arriving work uses. */
     public void setArrivals(Resources resources) {
         arrivals = resources;
     }
 
-    /** Takes in that the tasks of one step need at least so many workers. */
+    /** Requires at least this many workers, to spread the tasks of one step. */
     public void requireWorkers(int workers) {
         minWorkers = Math.max(minWorkers, workers);
     }
 
-    /** Returns how many workers with this room the work needs, in fractions of one. */
+    /** Returns the number of workers of this size that the work needs, as a fraction. */
     public double requiredWorkers(Resources perWorker) {
         double byCpu = workersFor(
                 max(cpuMillis, running.cpuMillis(), arrivals.cpuMillis()) + longRunning.cpuMillis(),
@@ -91,7 +92,7 @@
         return Math.max(byCpu, Math.max(byMemory, byAccelerators));
     }
 
-    /** Returns how many workers there must be for the tasks that may not be together. */
+    /** Returns the minimum number of workers for tasks that may not share one. */
     public int minWorkers() {
         return minWorkers;
     }
--- a/core/src/main/java/org/lupinpaddle/core/capacity/DemandTrend.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/DemandTrend.java
@@ -19,23 +19,24 @@
 import java.util.Deque;
 
 /**
- * Looks a little ahead: what a service needs when instances that are asked for now have come. While the need grows it
- * is taken to grow on as fast; while it falls nothing is assumed.
+ * Forecasts the demand of a service at the time when instances requested now arrive. Growing demand is
+ * extrapolated linearly; falling demand is not.
  */
 public final class DemandTrend {
 
     // Long enough that single jobs do not look like a trend.
     private static final long WINDOW_MILLIS = 1_500;
-    // From a report until an instance from the headroom pool takes tasks: 1.5 s of the move, and the calls.
+    // The time from a report until an instance from the headroom pool accepts tasks: 1.5 s for the move, plus the
+    // calls.
     private static final long LEAD_TIME_MILLIS = 1_800;
-    // A burst that has just begun says little of how high it will go.
+    // A burst that has just begun says little about its peak.
     private static final double MAX_GROWTH_FACTOR = 1.6;
 
     private final Deque<Sample> samples = new ArrayDeque<>();
 
     private record Sample(long at, double demand) {}
 
-    /** Takes in what is needed now, in workers, and returns what will be needed. */
+    /** Adds the current demand in workers and returns the forecast. */
     public double forecast(long now, double demand) {
         while (samples.size() > 1 && now - samples.peekFirst().at() > WINDOW_MILLIS) {
             samples.removeFirst();
--- a/core/src/main/java/org/lupinpaddle/core/capacity/FleetShares.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/FleetShares.java
@@ -23,27 +23,27 @@
 import java.util.function.ToIntFunction;
 
 /**
- * Divides the instances of a fleet between its pools. First each pool's least; then work that can still end within its
- * objective, each pool in proportion where there is not enough for all; then late work and the rest alike. What is left belongs to no
- * pool. Pools that were each sized alone kept instances for work that was worth nothing any more while another pool's
- * jobs became late (docs/POLICY.md).
+ * Divides the instances of a fleet between its pools. The minimum of each pool comes first, then work that can
+ * still meet its objective, in proportion if there are too few instances, then late work, then the rest in the
+ * same way. The remainder belongs to no pool. When each pool was sized on its own, pools kept instances for work
+ * that had become worthless while jobs of another pool became late (docs/POLICY.md).
  */
 public final class FleetShares {
 
     private FleetShares() {}
 
     /**
-     * What a pool asks for, in instances.
+     * The number of instances that a pool requests.
      *
-     * @param pool its name
-     * @param minimum what it has in any case
-     * @param required what it needs so that work ends within its objective, the least included
-     * @param late what late work would take besides
-     * @param optional what all other work would take: what is foreseen, and what is too late to count
+     * @param pool the name of the pool
+     * @param minimum the number that it gets in any case
+     * @param required the number that it needs to complete work within its objective, including the minimum
+     * @param late the additional number for late work
+     * @param optional the additional number for all other work: forecast work, and work that is too late to count
      */
     public record Claim(String pool, int minimum, int required, int late, int optional) {}
 
-    /** Returns how many instances each pool is to have; never more in all than there are. */
+    /** Returns the number of instances for each pool; the total never exceeds the fleet. */
     public static Map<String, Integer> divide(int instances, List<Claim> claims) {
         Map<String, Integer> shares = new LinkedHashMap<>();
         claims.forEach(c -> shares.put(c.pool(), 0));
@@ -55,7 +55,10 @@
         return shares;
     }
 
-    /** Gives each pool what it asks for, or its part by the largest remainders; returns how many were given. */
+    /**
+     * Allocates to each pool what it requests, or its proportional share by the largest remainder method. Returns
+     * the number allocated.
+     */
     private static int allocate(
             int available, List<Claim> claims, ToIntFunction<Claim> requestedBy, Map<String, Integer> shares) {
         int requestedTotal = claims.stream().mapToInt(requestedBy).sum();
--- a/core/src/main/java/org/lupinpaddle/core/capacity/ServiceReport.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/ServiceReport.java
@@ -19,13 +19,14 @@
 import java.util.Map;
 
 /**
- * What the owner of a service tells the rest of the system, in one record that it writes when it changes.
+ * The report of a service's owner to the rest of the system, in one record that is written when it changes.
  *
- * @param pendingByQueue accepted jobs of each queue none of whose tasks has begun; queues without any are left out
- * @param needed how many workers its present work asks for, all of it, looked a little ahead
- * @param firm how many its work asks for that can still end within its objective
- * @param late how many more its late work could use, as long as late ends count
- * @param workers what each of its workers carries
+ * @param pendingByQueue the number of accepted jobs of each queue without a started task; queues without any are
+ *     omitted
+ * @param needed the number of workers that all current work requests, including the short-term forecast
+ * @param firm the number of workers for the work that can still meet its objective
+ * @param late the additional number of workers that late work could use, as long as late completions count
+ * @param workers the load of each worker
  */
 public record ServiceReport(
         Map<String, Integer> pendingByQueue, int needed, int firm, int late, List<WorkerLoad> workers) {}
--- a/core/src/main/java/org/lupinpaddle/core/capacity/WorkerLoad.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/WorkerLoad.java
@@ -16,11 +16,11 @@
 package org.lupinpaddle.core.capacity;
 
 /**
- * What a worker carries.
+ * The load of a worker.
  *
- * @param worker its id
- * @param lasting tasks that run until they are cancelled
- * @param finite tasks that end by themselves
- * @param reached whether it answers its owner; one that does not is no help now
+ * @param worker the worker's id
+ * @param lasting the number of long-running tasks, which run until they are cancelled
+ * @param finite the number of tasks that end by themselves
+ * @param reached whether it responds to its owner; an unreachable worker provides no capacity
  */
 public record WorkerLoad(String worker, int lasting, int finite, boolean reached) {}
--- a/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/ArrivalRateTest.java
@@ -26,7 +26,7 @@
 
     private final ArrivalRate rate = new ArrivalRate();
 
-    /** Jobs of five tasks of one core for a second, each so long after the one before. */
+    /** Accepts jobs of five one-core tasks of one second each, at a fixed interval. */
     private void acceptJobs(long from, int count, long intervalMillis) {
         for (int i = 0; i < count; i++) {
             ArrivalRate.Work w = new ArrivalRate.Work();
--- a/core/src/test/java/org/lupinpaddle/core/capacity/DemandTrendTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/DemandTrendTest.java
@@ -25,7 +25,10 @@
 
     private final DemandTrend trend = new DemandTrend();
 
-    /** Tells a need once every 100 ms for a second, from one value to another. */
+    /**
+     * Adds one demand sample every 100 ms for a second, rising or falling linearly, and returns the last
+     * forecast.
+     */
     private double forecastOf(double from, double to) {
         double ahead = 0;
         for (int i = 0; i <= 10; i++) {
@@ -39,7 +42,7 @@
 
         @Test
         void extrapolatesGrowth() {
-            assertTrue(forecastOf(4, 8) > 11, "4 more a second, and instances take 1.8 s to come");
+            assertTrue(forecastOf(4, 8) > 11, "demand grows by 4 per second, and instances take 1.8 s to arrive");
         }
 
         @Test
--- a/core/src/test/java/org/lupinpaddle/core/capacity/FleetSharesProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/capacity/FleetSharesProperties.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.constraints.IntRange;
 
-/** What must hold of any division of any fleet. */
+/** Tests invariants of the division for arbitrary fleets. */
 class FleetSharesProperties {
 
     @Provide
@@ -86,7 +86,8 @@
                 boolean requestsNoMore = a.minimum() <= b.minimum()
                         && a.required() - a.minimum() <= b.required() - b.minimum()
                         && a.late() <= b.late();
-                // By one for each kind of claim at the most, where the remainders are alike.
+                // With equal remainders, the larger claim may get one less for each of the four allocation
+                // rounds.
                 assertTrue(!requestsNoMore || share(shares, a) <= share(shares, b) + 4, shares.toString());
             }
         }
