--- a/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
@@ -20,18 +20,19 @@
 import org.lupinpaddle.core.common.Unreadable;
 
 /**
- * The fleet owner asks the owner of a service to empty a worker; the answer is written into the same record.
- * While the record exists the worker gets no new tasks.
+ * A request of the fleet's owner to the owner of a service to evacuate a worker. The answer is written into the
+ * same record. The worker gets no new tasks while the record exists.
  *
- * @param worker the life of a worker that is to be emptied
- * @param instance the instance it runs on
- * @param errand what it is to be emptied for, see {@link org.lupinpaddle.core.fleet.InstanceOperation}
- * @param urgent whether another pool's jobs wait for the instance
- * @param empty whether it carries nothing and will not be given anything
+ * @param worker the id of the worker to evacuate
+ * @param instance the instance that it runs on
+ * @param errand the operation that the evacuation is for, see {@link
+ *     org.lupinpaddle.core.fleet.InstanceOperation}
+ * @param urgent whether jobs of another pool wait for the instance
+ * @param empty whether the worker runs nothing and will not be given new tasks
  */
 public record EvacuationRecord(String worker, String instance, String errand, boolean urgent, boolean empty) {
 
-    /** Returns the record that lies under the key of a worker, or what is wrong with the text. */
+    /** Reads the record stored under the key of a worker, or returns what is wrong with the text. */
     public static Either<Unreadable, EvacuationRecord> read(String text, String workerOfKey) {
         return RecordCodec.read(text, EvacuationRecord.class)
                 .flatMap(r -> r.worker.equals(workerOfKey)
@@ -39,7 +40,7 @@
                         : Either.left(Unreadable.Reason.NOT_OF_ITS_KEY.in("worker")));
     }
 
-    /** Returns the answer: the worker is empty. */
+    /** Returns the answer that the worker is empty. */
     public EvacuationRecord asEmpty() {
         return new EvacuationRecord(worker, instance, errand, urgent, true);
     }
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepRecord.java
@@ -19,12 +19,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * How far a wave is, as the fleet's owner keeps it.
+ * The progress of a wave as stored by the fleet's owner.
  *
- * @param begun the instances whose upkeep the platform has taken the order for, or that are not to have any
- * @param completed whether the operators have been told that the wave is done
- * @param seenMillis when an owner first saw the wave, in milliseconds since 1970: its time runs from there, whoever
- *     owns the fleet; null in a record of a version that did not keep it
+ * @param begun the instances whose upkeep order the platform has accepted, or that are not to be maintained
+ * @param completed whether the completion of the wave has been reported to the operators
+ * @param seenMillis when any owner first saw the wave, in milliseconds since 1970. The duration of the wave
+ *     counts from then, across changes of owner; null in records of older versions without this field
  */
 public record UpkeepRecord(
         List<String> begun, boolean completed, @Nullable Long seenMillis) {}
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepWave.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/UpkeepWave.java
@@ -18,11 +18,11 @@
 import java.util.List;
 
 /**
- * The operators ask for the upkeep of some instances.
+ * An operator's request for the upkeep of a set of instances.
  *
- * @param number names the wave
- * @param instances which instances
- * @param durationMillis in what time, from when it was asked for
- * @param maxDown how many may be down for it at one time
+ * @param number the number that identifies the wave
+ * @param instances the instances to maintain
+ * @param durationMillis the time within which the wave should complete, from the request
+ * @param maxDown the maximum number of instances that may be down for it at the same time
  */
 public record UpkeepWave(long number, List<String> instances, long durationMillis, int maxDown) {}
