--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotDesk.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotClient.java
@@ -39,35 +39,36 @@
  * asks it, and asks the next one at once when the owner is gone or does not answer. A new owner is told
  * of the grants still in use, so it does not give the same slots out twice.
  */
-public final class SlotDesk {
+public final class SlotClient {
 
     // An owner in the same region answers an ask within a few milliseconds.
-    private static final long ANSWER_MILLIS = 300;
-    private static final long SUSPECT_MILLIS = 3_000;
+    private static final long ANSWER_TIMEOUT_MILLIS = 300;
+    private static final long SUSPICION_MILLIS = 3_000;
     // An ask or a grant that was lost with a connection is repaired after this time.
-    private static final long REPEAT_MILLIS = 2_000;
-    private static final long REPORT_MILLIS = 5_000;
+    private static final long RESEND_MILLIS = 2_000;
+    private static final long REPORT_INTERVAL_MILLIS = 5_000;
 
     private final String self;
     private final String hall;
     private final Set<String> reachable = new TreeSet<>();
     private final Map<String, Long> suspectUntil = new HashMap<>();
-    private final Map<String, String> owners = new HashMap<>();
-    private final Set<String> unreported = new TreeSet<>();
+    private final Map<String, String> ownerByService = new HashMap<>();
+    private final Set<String> servicesToReport = new TreeSet<>();
     private final Map<Long, Pending> pending = new TreeMap<>();
     private final Map<Long, HeldGrant> grants = new HashMap<>();
-    private long lastAsk;
-    private long lastReport;
+    private long lastAskId;
+    private long lastReportMillis;
 
     /** Makes the desk of an entry in a data hall. */
-    public SlotDesk(String self, String hall) {
+    public SlotClient(String self, String hall) {
         this.self = self;
         this.hall = hall;
         reachable.add(self);
     }
 
     /** What a request needs of a slot. */
-    public record Need(String service, Urgency urgency, long arrival, long deadline, Set<String> avoid, int memoryMb) {}
+    public record SlotRequest(
+            String service, Urgency urgency, long arrival, long deadline, Set<String> avoid, int memoryMb) {}
 
     /** What the desk has to say to the request that asked. */
     public sealed interface Reply {
@@ -78,7 +79,7 @@
         record Slot(long ask, Grant grant) implements Reply {}
 
         /** No slot will be granted. */
-        record NoSlot(long ask, GiveUpReason reason, long comeBackMillis) implements Reply {}
+        record NoSlot(long ask, GiveUpReason reason, long retryAfterMillis) implements Reply {}
     }
 
     /** Takes the entries that this one can reach, itself aside. */
@@ -90,24 +91,24 @@
         }
         reachable.clear();
         reachable.addAll(next);
-        return reassign(now);
+        return reassignPending(now);
     }
 
     /** Makes an ask for a slot and puts the message for it into {@code out}; returns the ask's number. */
-    public long ask(Need need, long now, List<Outgoing> out) {
-        long ask = ++lastAsk;
-        Pending p = new Pending(need);
+    public long ask(SlotRequest request, long now, List<Outgoing> out) {
+        long ask = ++lastAskId;
+        Pending p = new Pending(request);
         pending.put(ask, p);
         send(ask, p, now, out);
         return ask;
     }
 
     private void send(long ask, Pending p, long now, List<Outgoing> out) {
-        Need n = p.need;
+        SlotRequest n = p.request;
         p.owner = ownerOf(n.service(), now, out);
         p.answered = false;
         p.sentAt = now;
-        unreported.add(n.service());
+        servicesToReport.add(n.service());
         long waited = now - n.arrival();
         long remaining = n.deadline() - now;
         Ask message = new Ask(n.service(), ask, n.urgency(), waited, remaining, hall, n.avoid(), n.memoryMb());
@@ -117,18 +118,18 @@
     /** Takes an ask back. */
     public List<Outgoing> cancel(long ask) {
         Pending p = pending.remove(ask);
-        return p == null ? List.of() : List.of(new Outgoing(p.owner, new Cancel(p.need.service(), ask)));
+        return p == null ? List.of() : List.of(new Outgoing(p.owner, new Cancel(p.request.service(), ask)));
     }
 
     /** Gives a grant back to the owner that gave it and, if another owner has been told of it, to that one. */
     public List<Outgoing> release(String service, Grant grant, AttemptOutcome outcome, long now) {
-        HeldGrant mine = grants.remove(grant.id());
+        HeldGrant heldGrant = grants.remove(grant.id());
         List<Outgoing> out = new ArrayList<>();
         String owner = ownerOf(service, now, out);
         Release release = new Release(service, grant.id(), grant.worker(), outcome);
         out.add(new Outgoing(owner, release));
-        if (mine != null && !mine.granter.equals(owner)) {
-            out.add(new Outgoing(mine.granter, release));
+        if (heldGrant != null && !heldGrant.granter.equals(owner)) {
+            out.add(new Outgoing(heldGrant.granter, release));
         }
         return out;
     }
@@ -146,7 +147,7 @@
             Pending p = pending.get(m.ask());
             if (p != null && p.owner.equals(from)) {
                 pending.remove(m.ask());
-                replies.add(new Reply.NoSlot(m.ask(), m.reason(), m.comeBackMillis()));
+                replies.add(new Reply.NoSlot(m.ask(), m.reason(), m.retryAfterMillis()));
             }
         }
         return List.of();
@@ -169,38 +170,38 @@
     public List<Outgoing> onTick(long now) {
         boolean changed = suspectUntil.values().removeIf(until -> now >= until);
         for (Pending p : pending.values()) {
-            if (!p.answered && now - p.sentAt >= ANSWER_MILLIS && !p.owner.equals(self)) {
-                suspectUntil.put(p.owner, now + SUSPECT_MILLIS);
+            if (!p.answered && now - p.sentAt >= ANSWER_TIMEOUT_MILLIS && !p.owner.equals(self)) {
+                suspectUntil.put(p.owner, now + SUSPICION_MILLIS);
                 changed = true;
             }
         }
         List<Outgoing> out = new ArrayList<>();
         if (changed) {
-            out.addAll(reassign(now));
+            out.addAll(reassignPending(now));
         }
-        repeatAsks(now, out);
+        resendAsks(now, out);
         report(now, out);
         return out;
     }
 
-    private void repeatAsks(long now, List<Outgoing> out) {
+    private void resendAsks(long now, List<Outgoing> out) {
         pending.forEach((ask, p) -> {
-            if (now - p.sentAt >= REPEAT_MILLIS) {
+            if (now - p.sentAt >= RESEND_MILLIS) {
                 send(ask, p, now, out);
             }
         });
     }
 
     private void report(long now, List<Outgoing> out) {
-        if (now - lastReport < REPORT_MILLIS) {
+        if (now - lastReportMillis < REPORT_INTERVAL_MILLIS) {
             return;
         }
-        lastReport = now;
-        for (String service : List.copyOf(unreported)) {
+        lastReportMillis = now;
+        for (String service : List.copyOf(servicesToReport)) {
             out.add(new Outgoing(ownerOf(service, now, out), inUse(service)));
         }
-        unreported.clear();
-        grants.values().forEach(g -> unreported.add(g.service));
+        servicesToReport.clear();
+        grants.values().forEach(g -> servicesToReport.add(g.service));
     }
 
     private InUse inUse(String service) {
@@ -212,17 +213,17 @@
                         .toList());
     }
 
-    private List<Outgoing> reassign(long now) {
+    private List<Outgoing> reassignPending(long now) {
         List<Outgoing> out = new ArrayList<>();
         for (Map.Entry<Long, Pending> e : pending.entrySet()) {
             Pending p = e.getValue();
-            String service = p.need.service();
+            String service = p.request.service();
             if (!ownerOf(service, now, out).equals(p.owner)) {
                 out.add(new Outgoing(p.owner, new Cancel(service, e.getKey())));
                 send(e.getKey(), p, now, out);
             }
         }
-        List.copyOf(owners.keySet()).forEach(s -> ownerOf(s, now, out));
+        List.copyOf(ownerByService.keySet()).forEach(s -> ownerOf(s, now, out));
         return out;
     }
 
@@ -231,7 +232,7 @@
                 .filter(e -> now >= suspectUntil.getOrDefault(e, Long.MIN_VALUE))
                 .findFirst()
                 .orElse(self);
-        String before = owners.put(service, owner);
+        String before = ownerByService.put(service, owner);
         if (before != null && !before.equals(owner)) {
             out.add(new Outgoing(before, new InUse(service, List.of())));
             out.add(new Outgoing(owner, inUse(service)));
@@ -242,13 +243,13 @@
     private record HeldGrant(String service, Grant grant, String granter) {}
 
     private static final class Pending {
-        private final Need need;
+        private final SlotRequest request;
         private String owner = "";
         private boolean answered;
         private long sentAt;
 
-        private Pending(Need need) {
-            this.need = need;
+        private Pending(SlotRequest request) {
+            this.request = request;
         }
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotMessage.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotMessage.java
@@ -66,7 +66,7 @@
     record Granted(String service, long ask, Grant grant) implements SlotMessage {}
 
     /** The owner will not grant a slot. */
-    record Refused(String service, long ask, GiveUpReason reason, long comeBackMillis) implements SlotMessage {}
+    record Refused(String service, long ask, GiveUpReason reason, long retryAfterMillis) implements SlotMessage {}
 
     /**
      * Leave to send one request to a worker.
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
@@ -52,21 +52,21 @@
 
     // Weight of the newest run time in the running mean.
     private static final double MEAN_WEIGHT = 0.05;
-    private static final int FEWEST_RUNS = 8;
+    private static final int MIN_RUNS = 8;
     // Run times are often far off: only a wait twice as long as the time left is called hopeless.
     private static final double HOPELESS_FACTOR = 0.5;
-    private static final int MOST_EJECTED_SHARE = 3;
+    private static final int MAX_EJECTED_DIVISOR = 3;
 
     // A grant younger than this may still be on its way to the entry that reports.
-    private static final long SETTLED_MILLIS = 4_000;
+    private static final long GRANT_DELIVERY_MILLIS = 4_000;
     // Entries report every few seconds to the owner they know: what nobody reports is in use nowhere.
-    private static final long UNREPORTED_MILLIS = 15_000;
+    private static final long UNREPORTED_TIMEOUT_MILLIS = 15_000;
 
     private final String service;
-    private final int places;
+    private final int queueCapacity;
     private final RandomGenerator random;
     private final Map<String, Worker> workers = new TreeMap<>();
-    private final Map<Long, Held> held = new HashMap<>();
+    private final Map<Long, HeldGrant> heldGrants = new HashMap<>();
     private final TreeSet<Waiting> queue =
             new TreeSet<>(Comparator.<Waiting>comparingLong(w -> w.orderTime).thenComparingLong(w -> w.sequence));
     private final Map<AskKey, Waiting> waiting = new HashMap<>();
@@ -74,10 +74,10 @@
     private double meanRunMillis;
     private int runs;
 
-    /** Makes the owner of a service's slots whose queue has {@code places}; {@code random} makes grant ids. */
-    public SlotOwner(String service, int places, RandomGenerator random) {
+    /** Makes the owner of a service's slots whose queue has {@code queueCapacity}; {@code random} makes grant ids. */
+    public SlotOwner(String service, int queueCapacity, RandomGenerator random) {
         this.service = service;
-        this.places = places;
+        this.queueCapacity = queueCapacity;
         this.random = random;
     }
 
@@ -120,31 +120,31 @@
         if (workers.values().stream().noneMatch(w -> w.info.memoryMb() >= ask.memoryMb())) {
             return Optional.of(refused(ask, GiveUpReason.TOO_LARGE, 0));
         }
-        if (queue.size() >= ask.urgency().queuePlaces(places)) {
-            return Optional.of(refused(ask, GiveUpReason.SHED, comeBack(GiveUpReason.SHED)));
+        if (queue.size() >= ask.urgency().queuePlaces(queueCapacity)) {
+            return Optional.of(refused(ask, GiveUpReason.SHED, retryAfterMillis(GiveUpReason.SHED)));
         }
         long ahead = queue.stream()
                 .filter(w -> w.orderTime <= ask.urgency().orderTime(now - ask.waitedMillis()))
                 .count();
-        if (ahead > 0 && expectedWait(ahead, now) * HOPELESS_FACTOR > ask.remainingMillis()) {
-            return Optional.of(refused(ask, GiveUpReason.HOPELESS, comeBack(GiveUpReason.HOPELESS)));
+        if (ahead > 0 && expectedWaitMillis(ahead, now) * HOPELESS_FACTOR > ask.remainingMillis()) {
+            return Optional.of(refused(ask, GiveUpReason.HOPELESS, retryAfterMillis(GiveUpReason.HOPELESS)));
         }
         return Optional.empty();
     }
 
-    private Refused refused(Ask ask, GiveUpReason reason, long comeBackMillis) {
-        return new Refused(service, ask.ask(), reason, comeBackMillis);
+    private Refused refused(Ask ask, GiveUpReason reason, long retryAfterMillis) {
+        return new Refused(service, ask.ask(), reason, retryAfterMillis);
     }
 
     // Spread over half again its length, so that callers told the same do not come back as one burst.
-    private long comeBack(GiveUpReason reason) {
-        long drain = (long) expectedWait(queue.size(), 0);
-        long base = Math.max(reason.comeBackMillis(), Math.min(drain, 60_000));
-        return base + random.nextLong(base / 2 + 1);
+    private long retryAfterMillis(GiveUpReason reason) {
+        long drainMillis = (long) expectedWaitMillis(queue.size(), 0);
+        long baseMillis = Math.max(reason.comeBackMillis(), Math.min(drainMillis, 60_000));
+        return baseMillis + random.nextLong(baseMillis / 2 + 1);
     }
 
-    private double expectedWait(long ahead, long now) {
-        if (runs < FEWEST_RUNS) {
+    private double expectedWaitMillis(long ahead, long now) {
+        if (runs < MIN_RUNS) {
             return 0;
         }
         int slots = workers.values().stream().mapToInt(w -> w.usableSlots(now)).sum();
@@ -161,35 +161,37 @@
 
     /** Takes back a grant, also one of an earlier owner. */
     public List<Outgoing> onRelease(Release release, long now) {
-        Held h = held.remove(release.grant());
+        HeldGrant h = heldGrants.remove(release.grant());
         Worker w = workers.get(release.worker());
         if (h != null && release.outcome() == AttemptOutcome.ANSWERED) {
-            learnRunTime(now - h.since);
+            addRunTime(now - h.since);
         }
         if (w != null) {
             if (h != null) {
                 w.inUse--;
             }
             w.health.onOutcome(release.outcome(), now);
-            ejectIfBad(w, now);
+            ejectIfUnhealthy(w, now);
         }
         return dispatch(now);
     }
 
-    private void learnRunTime(long millis) {
+    private void addRunTime(long millis) {
         runs++;
         meanRunMillis = runs == 1 ? millis : meanRunMillis + MEAN_WEIGHT * (millis - meanRunMillis);
     }
 
-    private void ejectIfBad(Worker w, long now) {
-        long out = workers.values().stream().filter(x -> x.health.isOut()).count();
-        long most = workers.size() < 2 ? 0 : Math.max(1, workers.size() / MOST_EJECTED_SHARE);
-        double peers = workers.values().stream()
-                .filter(x -> x != w && !x.health.isOut())
-                .mapToDouble(x -> x.health.rate())
+    private void ejectIfUnhealthy(Worker w, long now) {
+        long ejectedCount = workers.values().stream()
+                .filter(x -> x.health.isEjectedOrProbing())
+                .count();
+        long maxEjected = workers.size() < 2 ? 0 : Math.max(1, workers.size() / MAX_EJECTED_DIVISOR);
+        double peerSuccessRate = workers.values().stream()
+                .filter(x -> x != w && !x.health.isEjectedOrProbing())
+                .mapToDouble(x -> x.health.successRate())
                 .average()
                 .orElse(0);
-        if (out < most && w.health.isBad(peers, now)) {
+        if (ejectedCount < maxEjected && w.health.isUnhealthy(peerSuccessRate, now)) {
             w.health.eject(now);
         }
     }
@@ -199,21 +201,21 @@
      * grant of ours that the entry does not name was lost on the way and is let go of.
      */
     public List<Outgoing> onInUse(String entry, InUse report, long now) {
-        Set<Long> named = report.grants().stream().map(Grant::id).collect(Collectors.toSet());
-        letGo(h -> h.entry.equals(entry) && now - h.since >= SETTLED_MILLIS, named);
+        Set<Long> reportedIds = report.grants().stream().map(Grant::id).collect(Collectors.toSet());
+        releaseMatching(h -> h.entry.equals(entry) && now - h.since >= GRANT_DELIVERY_MILLIS, reportedIds);
         for (Grant g : report.grants()) {
-            takeReported(entry, g, now);
+            addReportedGrant(entry, g, now);
         }
         return dispatch(now);
     }
 
-    private void takeReported(String entry, Grant g, long now) {
-        Held known = held.get(g.id());
+    private void addReportedGrant(String entry, Grant g, long now) {
+        HeldGrant known = heldGrants.get(g.id());
         Worker w = workers.get(g.worker());
         if (known != null) {
-            held.put(g.id(), new Held(entry, g.worker(), known.since, now));
+            heldGrants.put(g.id(), new HeldGrant(entry, g.worker(), known.since, now));
         } else if (w != null) {
-            held.put(g.id(), new Held(entry, g.worker(), now, now));
+            heldGrants.put(g.id(), new HeldGrant(entry, g.worker(), now, now));
             w.inUse++;
         }
     }
@@ -222,15 +224,15 @@
     public List<Outgoing> onEntryGone(String entry, long now) {
         queue.removeIf(w -> w.key.entry.equals(entry));
         waiting.keySet().removeIf(k -> k.entry.equals(entry));
-        letGo(h -> h.entry.equals(entry), Set.of());
+        releaseMatching(h -> h.entry.equals(entry), Set.of());
         return dispatch(now);
     }
 
-    private void letGo(Predicate<Held> which, Set<Long> butNot) {
-        Iterator<Map.Entry<Long, Held>> it = held.entrySet().iterator();
+    private void releaseMatching(Predicate<HeldGrant> condition, Set<Long> exceptIds) {
+        Iterator<Map.Entry<Long, HeldGrant>> it = heldGrants.entrySet().iterator();
         while (it.hasNext()) {
-            Map.Entry<Long, Held> e = it.next();
-            if (which.test(e.getValue()) && !butNot.contains(e.getKey())) {
+            Map.Entry<Long, HeldGrant> e = it.next();
+            if (condition.test(e.getValue()) && !exceptIds.contains(e.getKey())) {
                 it.remove();
                 Worker w = workers.get(e.getValue().worker);
                 if (w != null) {
@@ -243,7 +245,7 @@
     /** Grants what has become free with time alone, and drops asks whose time has passed. */
     public List<Outgoing> onTick(long now) {
         queue.stream().filter(w -> now >= w.deadline).toList().forEach(this::drop);
-        letGo(h -> now - h.reportedAt >= UNREPORTED_MILLIS, Set.of());
+        releaseMatching(h -> now - h.reportedAt >= UNREPORTED_TIMEOUT_MILLIS, Set.of());
         return dispatch(now);
     }
 
@@ -275,7 +277,8 @@
     private void refuseAll(List<Outgoing> out) {
         for (Waiting w : List.copyOf(queue)) {
             drop(w);
-            out.add(new Outgoing(w.key.entry, refused(w.ask, GiveUpReason.CUT_OFF, comeBack(GiveUpReason.CUT_OFF))));
+            out.add(new Outgoing(
+                    w.key.entry, refused(w.ask, GiveUpReason.CUT_OFF, retryAfterMillis(GiveUpReason.CUT_OFF))));
         }
     }
 
@@ -284,10 +287,10 @@
     }
 
     private Optional<Worker> choose(Ask ask, long now) {
-        List<Worker> fit = workers.values().stream()
+        List<Worker> candidates = workers.values().stream()
                 .filter(w -> w.free(now) > 0 && w.info.memoryMb() >= ask.memoryMb())
                 .toList();
-        return fit.stream()
+        return candidates.stream()
                 .min(Comparator.<Worker>comparingInt(w -> w.probeRank(ask))
                         .thenComparingInt(w -> ask.avoid().contains(w.info.id()) ? 1 : 0)
                         .thenComparingInt(w -> w.info.hall().equals(ask.hall()) ? 0 : 1)
@@ -299,7 +302,7 @@
         drop(w);
         long id = random.nextLong();
         String workerId = worker.info.id();
-        held.put(id, new Held(w.key.entry, workerId, now, now));
+        heldGrants.put(id, new HeldGrant(w.key.entry, workerId, now, now));
         worker.inUse++;
         out.add(new Outgoing(w.key.entry, new Granted(service, w.ask.ask(), new Grant(id, workerId))));
     }
@@ -311,20 +314,20 @@
 
     /** Returns how many grants are out. */
     public int grantsInUse() {
-        return held.size();
+        return heldGrants.size();
     }
 
     /** Returns the workers that are ejected or on probe. */
     public List<String> ejected() {
         return workers.values().stream()
-                .filter(w -> w.health.isOut())
+                .filter(w -> w.health.isEjectedOrProbing())
                 .map(w -> w.info.id())
                 .toList();
     }
 
     private record AskKey(String entry, long ask) {}
 
-    private record Held(String entry, String worker, long since, long reportedAt) {}
+    private record HeldGrant(String entry, String worker, long since, long reportedAt) {}
 
     private static final class Waiting {
         private final AskKey key;
@@ -354,7 +357,7 @@
         // A worker whose ejection is over is tried with the next request that is not urgent: on a service
         // with little load it would else never be chosen, and stay out for ever.
         private int probeRank(Ask ask) {
-            if (!health.isOut()) {
+            if (!health.isEjectedOrProbing()) {
                 return 1;
             }
             return ask.urgency() == Urgency.URGENT ? 2 : 0;
--- a/core/src/main/java/org/lupinpaddle/core/slot/WorkerHealth.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/WorkerHealth.java
@@ -26,18 +26,18 @@
 
     private static final double HALF_LIFE_MILLIS = 10_000;
     // Below this weight of outcomes chance alone could make a good worker look bad.
-    private static final double FEWEST_OUTCOMES = 4;
-    private static final double EJECT_BELOW = 0.5;
-    private static final double MARGIN_TO_PEERS = 0.3;
+    private static final double MIN_OUTCOMES = 4;
+    private static final double MAX_EJECTION_SUCCESS_RATE = 0.5;
+    private static final double MIN_MARGIN_TO_PEERS = 0.3;
     private static final long FIRST_EJECTION_MILLIS = 5_000;
-    private static final long LONGEST_EJECTION_MILLIS = 60_000;
+    private static final long MAX_EJECTION_MILLIS = 60_000;
     private static final long PAUSE_FULL_MILLIS = 50;
     private static final long PAUSE_LEAVING_MILLIS = 1_000;
     private static final long PAUSE_UNREACHABLE_MILLIS = 250;
 
-    private double good;
-    private double bad;
-    private long weighedAt;
+    private double successWeight;
+    private double failureWeight;
+    private long decayedAt;
     private int ejections;
     private long ejectedUntil;
     private boolean probing;
@@ -48,14 +48,14 @@
         decay(now);
         switch (outcome) {
             case ANSWERED -> {
-                good++;
+                successWeight++;
                 if (probing) {
-                    clear();
+                    reinstate();
                 }
             }
-            case FAILED, BROKEN -> onBad(now);
+            case FAILED, BROKEN -> onFailure(now);
             case NOT_SENT -> {
-                onBad(now);
+                onFailure(now);
                 pausedUntil = now + PAUSE_UNREACHABLE_MILLIS;
             }
             case REFUSED_FULL -> pausedUntil = now + PAUSE_FULL_MILLIS;
@@ -64,35 +64,38 @@
         }
     }
 
-    private void onBad(long now) {
-        bad++;
+    private void onFailure(long now) {
+        failureWeight++;
         if (probing) {
             eject(now);
         }
     }
 
-    private void clear() {
+    private void reinstate() {
         probing = false;
         ejections = 0;
-        bad = 0;
+        failureWeight = 0;
     }
 
-    /** Returns whether the worker should be ejected, its peers succeeding at {@code peerRate}. */
-    boolean isBad(double peerRate, long now) {
+    /** Returns whether the worker should be ejected, its peers succeeding at {@code peerSuccessRate}. */
+    boolean isUnhealthy(double peerSuccessRate, long now) {
         decay(now);
-        return !isOut() && good + bad >= FEWEST_OUTCOMES && rate() < EJECT_BELOW && rate() < peerRate - MARGIN_TO_PEERS;
+        return !isEjectedOrProbing()
+                && successWeight + failureWeight >= MIN_OUTCOMES
+                && successRate() < MAX_EJECTION_SUCCESS_RATE
+                && successRate() < peerSuccessRate - MIN_MARGIN_TO_PEERS;
     }
 
     /** Ejects the worker; each time in a row for twice as long. */
     void eject(long now) {
-        long time = Math.min(LONGEST_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(ejections, 10));
+        long time = Math.min(MAX_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(ejections, 10));
         ejections++;
         ejectedUntil = now + time;
         probing = true;
     }
 
     /** Returns whether the worker is ejected or still to prove itself. */
-    boolean isOut() {
+    boolean isEjectedOrProbing() {
         return probing;
     }
 
@@ -105,14 +108,14 @@
     }
 
     /** Returns the share of recent outcomes that were good, from 0 to 1; 1 where there are none. */
-    double rate() {
-        return good + bad == 0 ? 1 : good / (good + bad);
+    double successRate() {
+        return successWeight + failureWeight == 0 ? 1 : successWeight / (successWeight + failureWeight);
     }
 
     private void decay(long now) {
-        double factor = Math.pow(0.5, (now - weighedAt) / HALF_LIFE_MILLIS);
-        good *= factor;
-        bad *= factor;
-        weighedAt = now;
+        double factor = Math.pow(0.5, (now - decayedAt) / HALF_LIFE_MILLIS);
+        successWeight *= factor;
+        failureWeight *= factor;
+        decayedAt = now;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
@@ -38,7 +38,7 @@
      * The part of a quota that is granted to one service.
      *
      * @param granted the total amount that the service's tasks of the workspace may use
-     * @param requested the total amount that they could use if it exceeds the grant; otherwise {@link Room#NONE}
+     * @param requested the total amount that they could use if it exceeds the grant; otherwise {@link Resources#NONE}
      */
     public record Grant(Resources granted, Resources requested) {
 
--- a/core/src/test/java/org/lupinpaddle/core/slot/SlotOwnerProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/slot/SlotOwnerProperties.java
@@ -68,10 +68,10 @@
     }
 
     @Group
-    class Always {
+    class Invariants {
 
         @Property(seed = "41", tries = 2_000, shrinking = ShrinkingMode.OFF)
-        void noWorkerGetsMoreThanItsSlotsAndNoneIsLost(@ForAll long seed) {
+        void slotsAreNeitherExceededNorLost(@ForAll long seed) {
             Random random = new Random(seed);
             SlotOwner o = owner(3);
             Map<Long, String> out = new HashMap<>();
@@ -117,7 +117,7 @@
     class Order {
 
         @Example
-        void urgentWorkGoesFirstAndMayWaitWorkDoesNotWaitForEver() {
+        void urgentWorkGoesFirstAndMayWaitWorkDoesNotStarve() {
             SlotOwner o = owner(1);
             List<Grant> held = new ArrayList<>();
             for (int i = 0; i < SLOTS; i++) {
@@ -143,7 +143,7 @@
     class Refusals {
 
         @Example
-        void comeAtOnceWithAReason() {
+        void areImmediateAndStateTheReason() {
             SlotOwner none = owner(0);
             assertEquals(GiveUpReason.CUT_OFF, reason(none.onAsk("e", ask(1, Urgency.URGENT), 0)));
             SlotOwner o = owner(1);
@@ -164,9 +164,9 @@
     class Ejection {
 
         @Example
-        void takesOutAWorkerThatFailsWhatOthersDoNotAndLetsItBack() {
+        void ejectsAWorkerThatFailsMoreThanItsPeersAndReinstatesIt() {
             SlotOwner o = owner(4);
-            long now = fail(o, "w1", 30, 0);
+            long now = runWithFailures(o, "w1", 30, 0);
             assertEquals(List.of("w1"), o.ejected());
             for (int i = 0; i < 40 && !o.ejected().isEmpty(); i++) {
                 now += 1_000;
@@ -178,14 +178,14 @@
         }
 
         @Example
-        void doesNotTakeOutWorkersWhenAllFailAlike() {
+        void doesNotEjectWorkersWhenAllFailAlike() {
             SlotOwner o = owner(4);
-            fail(o, "", 60, 0);
+            runWithFailures(o, "", 60, 0);
             assertEquals(List.of(), o.ejected());
         }
 
         // Fails everything on one worker, or on all for an empty name; many at once, so that all are used.
-        private long fail(SlotOwner o, String bad, int rounds, long from) {
+        private long runWithFailures(SlotOwner o, String bad, int rounds, long from) {
             long now = from;
             for (int i = 0; i < rounds; i++) {
                 now += 50;
@@ -204,10 +204,10 @@
     }
 
     @Group
-    class Repair {
+    class Recovery {
 
         @Example
-        void grantsThatNobodyReportsLapse() {
+        void unreportedGrantsExpire() {
             SlotOwner o = owner(1);
             o.onAsk("e", ask(1, Urgency.NORMAL), 0);
             assertEquals(1, o.grantsInUse());
@@ -218,7 +218,7 @@
         }
 
         @Example
-        void aNewOwnerLearnsTheGrantsInUse() {
+        void newOwnerCountsReportedGrants() {
             SlotOwner o = owner(1);
             o.onInUse("e", new InUse("s", List.of(new Grant(1, "w0"), new Grant(2, "w0"), new Grant(3, "w0"))), 0);
             assertEquals(0, grants(o.onAsk("f", ask(1, Urgency.URGENT), 1)).size());
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
@@ -36,7 +36,7 @@
 import org.lupinpaddle.core.request.RequestAction;
 import org.lupinpaddle.core.request.RequestEvent;
 import org.lupinpaddle.core.request.RequestMachine;
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 import org.lupinpaddle.core.slot.SlotMessage.Grant;
 import org.lupinpaddle.daemon.common.EventLoop;
 import org.lupinpaddle.daemon.common.Log;
@@ -165,7 +165,7 @@
     private void askSlot(RequestAction.AskSlot a) {
         Span hop = services.traces().hop(span, request.id(), "slot", SpanKind.INTERNAL);
         waitSpan = hop;
-        SlotDesk.Need need = new SlotDesk.Need(
+        SlotClient.SlotRequest need = new SlotClient.SlotRequest(
                 request.service(),
                 request.urgency(),
                 request.arrival(),
@@ -178,11 +178,11 @@
         });
     }
 
-    private static RequestEvent event(SlotDesk.Reply r) {
-        if (r instanceof SlotDesk.Reply.NoSlot n) {
-            return new RequestEvent.SlotRefused(n.reason(), n.comeBackMillis());
+    private static RequestEvent event(SlotClient.Reply r) {
+        if (r instanceof SlotClient.Reply.NoSlot n) {
+            return new RequestEvent.SlotRefused(n.reason(), n.retryAfterMillis());
         }
-        Grant g = ((SlotDesk.Reply.Slot) r).grant();
+        Grant g = ((SlotClient.Reply.Slot) r).grant();
         return new RequestEvent.SlotGranted(g.id(), g.worker());
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
@@ -71,7 +71,7 @@
                     .setService(m.service())
                     .setAsk(m.ask())
                     .setReason(m.reason().ordinal())
-                    .setComeBackMillis(m.comeBackMillis()));
+                    .setComeBackMillis(m.retryAfterMillis()));
         }
         return f.build();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
@@ -30,7 +30,7 @@
 import java.util.function.Function;
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.core.request.AttemptOutcome;
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 import org.lupinpaddle.core.slot.SlotMessage;
 import org.lupinpaddle.core.slot.SlotMessage.Grant;
 import org.lupinpaddle.core.slot.SlotMessage.Outgoing;
@@ -50,7 +50,7 @@
     private final MetricRegistry metrics;
     private final Function<String, List<WorkerInfo>> workersOf;
     private final BiConsumer<String, Frame> sender;
-    private final SlotDesk desk;
+    private final SlotClient desk;
     private final SplittableRandom random = new SplittableRandom();
     private final Map<String, SlotOwner> owners = new TreeMap<>();
     private final Map<Long, SlotReplies> waiting = new HashMap<>();
@@ -78,11 +78,11 @@
         this.metrics = metrics;
         this.workersOf = workersOf;
         this.sender = sender;
-        this.desk = new SlotDesk(self, hall);
+        this.desk = new SlotClient(self, hall);
     }
 
     /** Asks for a slot and returns the ask's number; the reply comes later, or at once from within. */
-    public long ask(SlotDesk.Need need, SlotReplies replies) {
+    public long ask(SlotClient.SlotRequest need, SlotReplies replies) {
         List<Outgoing> out = new ArrayList<>();
         long ask = desk.ask(need, clock.millis(), out);
         waiting.put(ask, replies);
@@ -167,17 +167,17 @@
         } else if (message instanceof SlotMessage.InUse m) {
             deliver(owner(m.service()).onInUse(from, m, now));
         } else {
-            List<SlotDesk.Reply> replies = new ArrayList<>();
+            List<SlotClient.Reply> replies = new ArrayList<>();
             deliver(desk.onMessage(from, message, replies));
             replies.forEach(this::reply);
         }
     }
 
-    private void reply(SlotDesk.Reply reply) {
+    private void reply(SlotClient.Reply reply) {
         SlotReplies r = waiting.remove(reply.ask());
         if (r != null) {
             r.onReply(reply);
-        } else if (reply instanceof SlotDesk.Reply.Slot) {
+        } else if (reply instanceof SlotClient.Reply.Slot) {
             throw new IllegalStateException("a slot for an ask that nobody waits for: " + reply.ask());
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplies.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplies.java
@@ -15,12 +15,12 @@
  */
 package org.lupinpaddle.daemon.slot;
 
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 
 /** Takes the reply to an ask for a slot; called once on the event loop. */
 @FunctionalInterface
 public interface SlotReplies {
 
     /** Takes the reply. */
-    void onReply(SlotDesk.Reply reply);
+    void onReply(SlotClient.Reply reply);
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.core.request.RequestEvent;
 import org.lupinpaddle.core.request.RequestMachine;
 import org.lupinpaddle.core.request.RetryBudget;
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 import org.lupinpaddle.core.slot.SlotMessage;
 import org.lupinpaddle.core.slot.SlotMessage.Grant;
 import org.lupinpaddle.core.slot.SlotMessage.Outgoing;
@@ -48,7 +48,7 @@
     boolean dead;
     final SlotOwner owner;
     private final SimFleet fleet;
-    private final SlotDesk desk;
+    private final SlotClient desk;
     private final RetryBudget retries = new RetryBudget();
     private final Map<Long, Run> asks = new HashMap<>();
     private final List<Runnable> inbox = new ArrayList<>();
@@ -63,7 +63,7 @@
         this.id = id;
         this.hall = hall;
         this.fleet = fleet;
-        this.desk = new SlotDesk(id, hall);
+        this.desk = new SlotClient(id, hall);
         this.owner = new SlotOwner(SERVICE, PLACES, fleet.random);
     }
 
@@ -129,7 +129,8 @@
             }
             List<Outgoing> out = new ArrayList<>();
             ask = desk.ask(
-                    new SlotDesk.Need(SERVICE, job.urgency, request.arrival(), request.deadline(), s.avoid(), 0),
+                    new SlotClient.SlotRequest(
+                            SERVICE, job.urgency, request.arrival(), request.deadline(), s.avoid(), 0),
                     fleet.time.now(),
                     out);
             asks.put(ask, this);
@@ -286,21 +287,21 @@
         } else if (message instanceof SlotMessage.InUse m) {
             route(owner.onInUse(from, m, now));
         } else {
-            List<SlotDesk.Reply> replies = new ArrayList<>();
+            List<SlotClient.Reply> replies = new ArrayList<>();
             route(desk.onMessage(from, message, replies));
             replies.forEach(this::reply);
         }
     }
 
-    private void reply(SlotDesk.Reply reply) {
+    private void reply(SlotClient.Reply reply) {
         Run r = asks.remove(reply.ask());
         if (r == null) {
             return;
         }
-        if (reply instanceof SlotDesk.Reply.Slot s) {
+        if (reply instanceof SlotClient.Reply.Slot s) {
             r.on(new RequestEvent.SlotGranted(s.grant().id(), s.grant().worker()));
-        } else if (reply instanceof SlotDesk.Reply.NoSlot n) {
-            r.on(new RequestEvent.SlotRefused(n.reason(), n.comeBackMillis()));
+        } else if (reply instanceof SlotClient.Reply.NoSlot n) {
+            r.on(new RequestEvent.SlotRefused(n.reason(), n.retryAfterMillis()));
         }
     }
 }
