--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotClient.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotClient.java
@@ -35,16 +35,16 @@
 import org.lupinpaddle.core.slot.SlotMessage.Release;
 
 /**
- * An entry's side of the slots: finds the owner of each service's slots among the entries it can reach,
- * asks it, and asks the next one at once when the owner is gone or does not answer. A new owner is told
- * of the grants still in use, so it does not give the same slots out twice.
+ * Requests slots on behalf of an entry. Finds the owner of each service's slots among the reachable entries, asks
+ * it, and moves on to the next one if the owner is gone or does not answer. A new owner is told of the grants in
+ * use, so that it does not grant the same slots twice.
  */
 public final class SlotClient {
 
-    // An owner in the same region answers an ask within a few milliseconds.
+    // Owners in the same region answer within a few milliseconds.
     private static final long ANSWER_TIMEOUT_MILLIS = 300;
     private static final long SUSPICION_MILLIS = 3_000;
-    // An ask or a grant that was lost with a connection is repaired after this time.
+    // Recovers asks and grants that were lost with a connection.
     private static final long RESEND_MILLIS = 2_000;
     private static final long REPORT_INTERVAL_MILLIS = 5_000;
 
@@ -59,30 +59,30 @@
     private long lastAskId;
     private long lastReportMillis;
 
-    /** Makes the desk of an entry in a data hall. */
+    /** Creates the client of an entry in a data hall. */
     public SlotClient(String self, String hall) {
         this.self = self;
         this.hall = hall;
         reachable.add(self);
     }
 
-    /** What a request needs of a slot. */
+    /** The requirements of a request for a slot. */
     public record SlotRequest(
             String service, Urgency urgency, long arrival, long deadline, Set<String> avoid, int memoryMb) {}
 
-    /** What the desk has to say to the request that asked. */
+    /** A reply to the request that asked for a slot. */
     public sealed interface Reply {
-        /** Returns the number that {@link #ask} gave. */
+        /** Returns the number returned by {@link #ask}. */
         long ask();
 
-        /** A slot is granted. */
+        /** The slot was granted. */
         record Slot(long ask, Grant grant) implements Reply {}
 
         /** No slot will be granted. */
         record NoSlot(long ask, GiveUpReason reason, long retryAfterMillis) implements Reply {}
     }
 
-    /** Takes the entries that this one can reach, itself aside. */
+    /** Sets the reachable entries, excluding this one. */
     public List<Outgoing> onReachable(Collection<String> entries, long now) {
         Set<String> next = new TreeSet<>(entries);
         next.add(self);
@@ -94,7 +94,7 @@
         return reassignPending(now);
     }
 
-    /** Makes an ask for a slot and puts the message for it into {@code out}; returns the ask's number. */
+    /** Asks for a slot and adds the message to {@code out}; returns the number of the ask. */
     public long ask(SlotRequest request, long now, List<Outgoing> out) {
         long ask = ++lastAskId;
         Pending p = new Pending(request);
@@ -115,13 +115,15 @@
         out.add(new Outgoing(p.owner, message));
     }
 
-    /** Takes an ask back. */
+    /** Cancels an ask. */
     public List<Outgoing> cancel(long ask) {
         Pending p = pending.remove(ask);
         return p == null ? List.of() : List.of(new Outgoing(p.owner, new Cancel(p.request.service(), ask)));
     }
 
-    /** Gives a grant back to the owner that gave it and, if another owner has been told of it, to that one. */
+    /**
+     * Releases a grant to the owner that gave it and, if another owner has been told of it, to that one as well.
+     */
     public List<Outgoing> release(String service, Grant grant, AttemptOutcome outcome, long now) {
         HeldGrant heldGrant = grants.remove(grant.id());
         List<Outgoing> out = new ArrayList<>();
@@ -134,7 +136,9 @@
         return out;
     }
 
-    /** Takes a message of an owner. Replies go to {@code replies}, messages come back. */
+    /**
+     * Handles a message from an owner. Adds replies for requests to {@code replies} and returns messages to send.
+     */
     public List<Outgoing> onMessage(String from, SlotMessage message, List<Reply> replies) {
         if (message instanceof SlotMessage.Queued m) {
             Pending p = pending.get(m.ask());
@@ -156,7 +160,7 @@
     private List<Outgoing> onGranted(String from, SlotMessage.Granted m, List<Reply> replies) {
         Pending p = pending.get(m.ask());
         if (p == null || !p.owner.equals(from)) {
-            // Cancelled or asked elsewhere meanwhile: the grant goes straight back.
+            // The ask was cancelled or sent to another owner, so the grant is returned.
             Grant g = m.grant();
             return List.of(new Outgoing(from, new Release(m.service(), g.id(), g.worker(), AttemptOutcome.UNUSED)));
         }
@@ -166,7 +170,7 @@
         return List.of();
     }
 
-    /** Turns away from owners that have not answered an ask in time. */
+    /** Avoids owners that have not answered in time, and resends and reports what is due. */
     public List<Outgoing> onTick(long now) {
         boolean changed = suspectUntil.values().removeIf(until -> now >= until);
         for (Pending p : pending.values()) {
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotMessage.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotMessage.java
@@ -21,23 +21,23 @@
 import org.lupinpaddle.core.request.AttemptOutcome;
 import org.lupinpaddle.core.request.GiveUpReason;
 
-/** What an entry and the owner of a service's slots say to each other. Times are durations, never clock times. */
+/** A message between an entry and the owner of a service's slots. Times are durations, never clock times. */
 public sealed interface SlotMessage {
 
-    /** Returns the service whose slots this is about. */
+    /** Returns the service that owns the slots. */
     String service();
 
     /**
      * An entry asks for one slot.
      *
      * @param service the service
-     * @param ask the entry's own number of the ask
+     * @param ask the entry's number of the ask
      * @param urgency the class of work
-     * @param waitedMillis how long the request has waited so far
-     * @param remainingMillis how long until its deadline
-     * @param hall the entry's data hall, preferred for the worker
-     * @param avoid workers to pass over if there is another
-     * @param memoryMb the memory declared, in megabytes
+     * @param waitedMillis how long the request has waited
+     * @param remainingMillis the time until its deadline
+     * @param hall the entry's data hall, which is preferred for the worker
+     * @param avoid workers to avoid if there is another
+     * @param memoryMb the declared memory, in megabytes
      */
     record Ask(
             String service,
@@ -50,16 +50,16 @@
             int memoryMb)
             implements SlotMessage {}
 
-    /** An entry takes its ask back. */
+    /** An entry cancels its ask. */
     record Cancel(String service, long ask) implements SlotMessage {}
 
-    /** An entry gives a grant back with what it saw of the worker. */
+    /** An entry releases a grant and reports the outcome seen from the worker. */
     record Release(String service, long grant, String worker, AttemptOutcome outcome) implements SlotMessage {}
 
-    /** An entry tells a new owner which grants of an earlier owner it still uses. */
+    /** An entry reports the grants of an earlier owner that it still uses. */
     record InUse(String service, List<Grant> grants) implements SlotMessage {}
 
-    /** The owner has put the ask into its queue. */
+    /** The owner has queued the ask. */
     record Queued(String service, long ask) implements SlotMessage {}
 
     /** The owner grants a slot. */
@@ -69,7 +69,7 @@
     record Refused(String service, long ask, GiveUpReason reason, long retryAfterMillis) implements SlotMessage {}
 
     /**
-     * Leave to send one request to a worker.
+     * Permission to send one request to a worker.
      *
      * @param id unique among all owners
      * @param worker the worker
@@ -77,9 +77,9 @@
     record Grant(long id, String worker) {}
 
     /**
-     * A message and where it goes.
+     * A message with its recipient.
      *
-     * @param to the id of an entry
+     * @param to the id of the receiving entry
      * @param message the message
      */
     record Outgoing(String to, SlotMessage message) {}
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
@@ -42,24 +42,24 @@
 import org.lupinpaddle.core.slot.SlotMessage.Release;
 
 /**
- * Grants the slots of one service's workers to the entries that can reach this one. One queue orders all
- * asks by arrival and urgency, so urgent work that comes in at any entry goes before other work that
- * waits at any other. The owner is the entry that rendezvous hashing names; nothing is kept for it. Two
- * entries that both think they own a service for a moment cost refusals by workers, and no promise: the
- * worker itself is the last judge of its slots.
+ * Grants the slots of one service's workers to all reachable entries. A single queue orders all asks by arrival
+ * and urgency, so urgent work from any entry goes before other work that waits at any entry. The owner is
+ * selected by rendezvous hashing and stores nothing. If two entries briefly both act as owner, the only effect is
+ * refusals by workers: the worker itself enforces the limit of its slots.
  */
 public final class SlotOwner {
 
     // Weight of the newest run time in the running mean.
     private static final double MEAN_WEIGHT = 0.05;
     private static final int MIN_RUNS = 8;
-    // Run times are often far off: only a wait twice as long as the time left is called hopeless.
+    // Run time estimates are often far off. An ask is refused as hopeless only if the expected wait is twice the
+    // remaining time.
     private static final double HOPELESS_FACTOR = 0.5;
     private static final int MAX_EJECTED_DIVISOR = 3;
 
-    // A grant younger than this may still be on its way to the entry that reports.
+    // A grant younger than this may not have reached the reporting entry yet.
     private static final long GRANT_DELIVERY_MILLIS = 4_000;
-    // Entries report every few seconds to the owner they know: what nobody reports is in use nowhere.
+    // Entries report to their owner every few seconds, so a grant that no entry reports is not in use.
     private static final long UNREPORTED_TIMEOUT_MILLIS = 15_000;
 
     private final String service;
@@ -74,14 +74,19 @@
     private double meanRunMillis;
     private int runs;
 
-    /** Makes the owner of a service's slots whose queue has {@code queueCapacity}; {@code random} makes grant ids. */
+    /**
+     * Creates the owner of a service's slots.
+     *
+     * @param queueCapacity the length limit of the queue
+     * @param random the source of grant ids
+     */
     public SlotOwner(String service, int queueCapacity, RandomGenerator random) {
         this.service = service;
         this.queueCapacity = queueCapacity;
         this.random = random;
     }
 
-    /** Takes the workers of the service as now known. */
+    /** Sets the known workers of the service. */
     public List<Outgoing> onWorkers(Collection<WorkerInfo> infos, long now) {
         Map<String, Worker> old = new HashMap<>(workers);
         workers.clear();
@@ -93,7 +98,7 @@
         return dispatch(now);
     }
 
-    /** Takes an ask of an entry. */
+    /** Handles an ask from an entry. */
     public List<Outgoing> onAsk(String entry, Ask ask, long now) {
         AskKey key = new AskKey(entry, ask.ask());
         if (waiting.containsKey(key)) {
@@ -136,7 +141,8 @@
         return new Refused(service, ask.ask(), reason, retryAfterMillis);
     }
 
-    // Spread over half again its length, so that callers told the same do not come back as one burst.
+    // Adds up to half of the delay at random, so that callers that were given the same delay do not return in one
+    // burst.
     private long retryAfterMillis(GiveUpReason reason) {
         long drainMillis = (long) expectedWaitMillis(queue.size(), 0);
         long baseMillis = Math.max(reason.comeBackMillis(), Math.min(drainMillis, 60_000));
@@ -151,7 +157,7 @@
         return ahead * meanRunMillis / Math.max(1, slots);
     }
 
-    /** Takes back an ask. */
+    /** Cancels an ask. */
     public void onCancel(String entry, long ask) {
         Waiting w = waiting.remove(new AskKey(entry, ask));
         if (w != null) {
@@ -159,7 +165,7 @@
         }
     }
 
-    /** Takes back a grant, also one of an earlier owner. */
+    /** Handles the release of a grant, which may come from an earlier owner. */
     public List<Outgoing> onRelease(Release release, long now) {
         HeldGrant h = heldGrants.remove(release.grant());
         Worker w = workers.get(release.worker());
@@ -197,8 +203,8 @@
     }
 
     /**
-     * Takes an entry's report of all the grants that it holds. Grants of an earlier owner are added; a
-     * grant of ours that the entry does not name was lost on the way and is let go of.
+     * Handles an entry's report of all its grants. Grants of an earlier owner are added. A grant of this owner
+     * that the report does not name was lost in transit and is released.
      */
     public List<Outgoing> onInUse(String entry, InUse report, long now) {
         Set<Long> reportedIds = report.grants().stream().map(Grant::id).collect(Collectors.toSet());
@@ -220,7 +226,7 @@
         }
     }
 
-    /** Lets go of all that an entry asked for and held, since the entry is gone. */
+    /** Drops all asks and grants of an entry that is gone. */
     public List<Outgoing> onEntryGone(String entry, long now) {
         queue.removeIf(w -> w.key.entry.equals(entry));
         waiting.keySet().removeIf(k -> k.entry.equals(entry));
@@ -242,7 +248,7 @@
         }
     }
 
-    /** Grants what has become free with time alone, and drops asks whose time has passed. */
+    /** Drops expired asks, releases unreported grants, and grants slots that became free over time. */
     public List<Outgoing> onTick(long now) {
         queue.stream().filter(w -> now >= w.deadline).toList().forEach(this::drop);
         releaseMatching(h -> now - h.reportedAt >= UNREPORTED_TIMEOUT_MILLIS, Set.of());
@@ -307,17 +313,17 @@
         out.add(new Outgoing(w.key.entry, new Granted(service, w.ask.ask(), new Grant(id, workerId))));
     }
 
-    /** Returns how many asks wait. */
+    /** Returns the number of queued asks. */
     public int queueLength() {
         return queue.size();
     }
 
-    /** Returns how many grants are out. */
+    /** Returns the number of grants in use. */
     public int grantsInUse() {
         return heldGrants.size();
     }
 
-    /** Returns the workers that are ejected or on probe. */
+    /** Returns the workers that are ejected or being probed. */
     public List<String> ejected() {
         return workers.values().stream()
                 .filter(w -> w.health.isEjectedOrProbing())
@@ -354,8 +360,8 @@
             return info.usable() ? health.usableSlots(info.slots(), now) : 0;
         }
 
-        // A worker whose ejection is over is tried with the next request that is not urgent: on a service
-        // with little load it would else never be chosen, and stay out for ever.
+        // A worker whose ejection has ended is probed with the next request that is not urgent. On a service with
+        // little load it would otherwise never be chosen and would stay ejected.
         private int probeRank(Ask ask) {
             if (!health.isEjectedOrProbing()) {
                 return 1;
--- a/core/src/main/java/org/lupinpaddle/core/slot/WorkerHealth.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/WorkerHealth.java
@@ -18,14 +18,14 @@
 import org.lupinpaddle.core.request.AttemptOutcome;
 
 /**
- * What one worker's recent outcomes say of it: an outcome weighs half after {@link #HALF_LIFE_MILLIS}. A
- * worker that fails much more than its peers is ejected for a time that doubles, then probed with one
- * request; the first success lets it back.
+ * Tracks the success rate of a worker's recent outcomes; the weight of an outcome halves every {@link
+ * #HALF_LIFE_MILLIS}. A worker that fails much more often than its peers is ejected for a time that doubles with
+ * each ejection in a row, then probed with one request. The first success reinstates it.
  */
 final class WorkerHealth {
 
     private static final double HALF_LIFE_MILLIS = 10_000;
-    // Below this weight of outcomes chance alone could make a good worker look bad.
+    // With fewer outcomes than this, a healthy worker could look unhealthy by chance.
     private static final double MIN_OUTCOMES = 4;
     private static final double MAX_EJECTION_SUCCESS_RATE = 0.5;
     private static final double MIN_MARGIN_TO_PEERS = 0.3;
@@ -43,7 +43,7 @@
     private boolean probing;
     private long pausedUntil;
 
-    /** Takes the outcome of an attempt. */
+    /** Handles the outcome of an attempt. */
     void onOutcome(AttemptOutcome outcome, long now) {
         decay(now);
         switch (outcome) {
@@ -77,7 +77,7 @@
         failureWeight = 0;
     }
 
-    /** Returns whether the worker should be ejected, its peers succeeding at {@code peerSuccessRate}. */
+    /** Returns whether the worker should be ejected, given the success rate of its peers. */
     boolean isUnhealthy(double peerSuccessRate, long now) {
         decay(now);
         return !isEjectedOrProbing()
@@ -86,7 +86,7 @@
                 && successRate() < peerSuccessRate - MIN_MARGIN_TO_PEERS;
     }
 
-    /** Ejects the worker; each time in a row for twice as long. */
+    /** Ejects the worker, for twice as long each time in a row. */
     void eject(long now) {
         long time = Math.min(MAX_EJECTION_MILLIS, FIRST_EJECTION_MILLIS << Math.min(ejections, 10));
         ejections++;
@@ -94,12 +94,12 @@
         probing = true;
     }
 
-    /** Returns whether the worker is ejected or still to prove itself. */
+    /** Returns whether the worker is ejected or being probed. */
     boolean isEjectedOrProbing() {
         return probing;
     }
 
-    /** Returns how many requests the worker may have at once, its slots being {@code slots}. */
+    /** Returns the number of requests that the worker may run at the same time if it has this many slots. */
     int usableSlots(int slots, long now) {
         if (now < pausedUntil || now < ejectedUntil) {
             return 0;
@@ -107,7 +107,7 @@
         return probing ? 1 : slots;
     }
 
-    /** Returns the share of recent outcomes that were good, from 0 to 1; 1 where there are none. */
+    /** Returns the weighted fraction of recent outcomes that succeeded, from 0 to 1; 1 if there are none. */
     double successRate() {
         return successWeight + failureWeight == 0 ? 1 : successWeight / (successWeight + failureWeight);
     }
--- a/core/src/main/java/org/lupinpaddle/core/slot/WorkerInfo.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/WorkerInfo.java
@@ -16,12 +16,12 @@
 package org.lupinpaddle.core.slot;
 
 /**
- * What the owner of the slots needs to know of a worker.
+ * The properties of a worker that the slot owner uses.
  *
  * @param id the instance's id
- * @param hall the data hall it stands in
- * @param slots how many requests it runs at once
+ * @param hall the data hall of the instance
+ * @param slots the number of requests that it can run at the same time
  * @param memoryMb its memory, in megabytes
- * @param usable whether every source says that it takes new work
+ * @param usable whether every source reports that it accepts new work
  */
 public record WorkerInfo(String id, String hall, int slots, int memoryMb, boolean usable) {}
--- a/core/src/main/java/org/lupinpaddle/core/slot/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/package-info.java
@@ -1,4 +1,4 @@
-/** The slots of a service's workers: who may send to which worker now. */
+/** Grants the slots of a service's workers: permission to send a request to a worker. */
 @NullMarked
 package org.lupinpaddle.core.slot;
 
--- a/core/src/test/java/org/lupinpaddle/core/slot/SlotOwnerProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/slot/SlotOwnerProperties.java
@@ -41,7 +41,7 @@
 import org.lupinpaddle.core.slot.SlotMessage.Outgoing;
 import org.lupinpaddle.core.slot.SlotMessage.Release;
 
-/** The owner of a service's slots under any order of asks, answers and entries that vanish. */
+/** Tests the owner of a service's slots under any order of asks, answers and vanishing entries. */
 class SlotOwnerProperties {
 
     private static final int SLOTS = 3;
@@ -128,7 +128,8 @@
             o.onAsk("e", ask(12, Urgency.URGENT), 2);
             assertEquals(12, askOfNextGrant(o, held.get(0), 3));
             assertEquals(11, askOfNextGrant(o, held.get(1), 4));
-            assertTrue(Urgency.MAY_WAIT.orderTime(0) < Urgency.URGENT.orderTime(3_600_000), "starves");
+            assertTrue(
+                    Urgency.MAY_WAIT.orderTime(0) < Urgency.URGENT.orderTime(3_600_000), "work that may wait starves");
         }
 
         private long askOfNextGrant(SlotOwner o, Grant g, long now) {
@@ -174,7 +175,7 @@
                     o.onRelease(new Release("s", g.id(), g.worker(), AttemptOutcome.ANSWERED), now + 1);
                 }
             }
-            assertEquals(List.of(), o.ejected(), "a worker that is well again stays out");
+            assertEquals(List.of(), o.ejected(), "a healthy worker stays ejected");
         }
 
         @Example
@@ -184,7 +185,8 @@
             assertEquals(List.of(), o.ejected());
         }
 
-        // Fails everything on one worker, or on all for an empty name; many at once, so that all are used.
+        // Fails all requests on one worker, or on all workers if the name is empty. Sends many requests at once
+        // so that all workers are used.
         private long runWithFailures(SlotOwner o, String bad, int rounds, long from) {
             long now = from;
             for (int i = 0; i < rounds; i++) {
