--- a/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
+++ b/core/src/main/java/org/lupinpaddle/core/fleet/FleetPort.java
@@ -28,7 +28,7 @@
     void endEvacuation(String service, String worker);
 
     /** Orders an operation on an instance; the outcome is passed to {@link FleetPlanner#onOrderOutcome}. */
-    void order(String instance, InstanceOperation errand);
+    void order(String instance, InstanceOperation operation);
 
     /** Stores the progress of a wave. */
     void writeUpkeep(long wave, UpkeepRecord record);
--- a/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/upkeep/EvacuationRecord.java
@@ -25,8 +25,8 @@
  *
  * @param worker the id of the worker to evacuate
  * @param instance the instance that it runs on
- * @param errand the operation that the evacuation is for, see {@link
- *     org.lupinpaddle.core.fleet.InstanceOperation}
+ * @param errand the operation that the evacuation is for, as written by
+ *     {@link org.lupinpaddle.core.fleet.InstanceOperation#toString}
  * @param urgent whether jobs of another pool wait for the instance
  * @param empty whether the worker runs nothing and will not be given new tasks
  */
