--- a/core/src/main/java/org/lupinpaddle/core/run/AdviceRequest.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/AdviceRequest.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.core.run;
 
 import java.util.List;
-import org.lupinpaddle.core.placement.StepTime;
+import org.lupinpaddle.core.placement.StepRepetition;
 
 /**
  * A request to the advice service: which of these workers may run a step?
@@ -24,4 +24,4 @@
  * @param step the step of one iteration of a job
  * @param workers the ids of the workers in question
  */
-public record AdviceRequest(StepTime step, List<String> workers) {}
+public record AdviceRequest(StepRepetition step, List<String> workers) {}
--- a/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Advisor.java
@@ -75,7 +75,7 @@
         List<String> unknown = workers.stream()
                 .filter(w ->
                         !k.refused.contains(w.facts().id()) && ticket(step, w).isEmpty())
-                .filter(w -> Placer.mayCarry(w, anyTask.placementRequirements(now)))
+                .filter(w -> Placer.isEligible(w, anyTask.placementRequirements(now)))
                 .map(w -> w.facts().id())
                 .sorted()
                 .limit(MAX_WORKERS_PER_REQUEST)
--- a/core/src/main/java/org/lupinpaddle/core/run/FaultyWorkerDetector.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/FaultyWorkerDetector.java
@@ -50,7 +50,7 @@
         if (!kind.countsAsAttempt()) {
             return;
         }
-        t.failedOnProvenWorker |= w.isProven();
+        t.failedOnProvenWorker |= w.lastRunSucceeded();
         w.recordFailure();
         boolean succeededElsewhere = t.job.tasks.stream().anyMatch(o -> o.phase == LiveTask.Phase.DONE);
         w.failureEvidence.add(t.job.spec.key() + (succeededElsewhere ? "." + t.id : ""));
--- a/core/src/main/java/org/lupinpaddle/core/run/HoldResponse.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/HoldResponse.java
@@ -33,7 +33,7 @@
 
     /** Creates the answer of a worker that does not state its birth. */
     public HoldResponse(long clockMillis, List<RunStatus> running, List<RunResult> ended) {
-        this(WorkerIncarnation.UNKNOWN_BIRTH, clockMillis, running, ended);
+        this(WorkerIncarnation.UNKNOWN_START, clockMillis, running, ended);
     }
 
     /** Returns whether further runs may have ended that are listed neither as running nor as ended. */
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveStep.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveStep.java
@@ -20,7 +20,7 @@
 import java.util.OptionalLong;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** The tasks of one step in one iteration of a job. */
 final class LiveStep {
@@ -30,9 +30,9 @@
     final int number;
     final StepSpec spec;
     /** The room that each of its tasks occupies on a worker. */
-    final Room room;
+    final Resources room;
     /** The amount charged to the workspace quota per task, even if the task occupies a whole worker. */
-    final Room need;
+    final Resources need;
 
     final List<LiveTask> tasks = new ArrayList<>();
     // Counters, because they are read in each pass over all steps.
@@ -56,9 +56,9 @@
         this.time = time;
         this.number = number;
         this.spec = job.spec.steps().get(number);
-        this.room = Room.of(spec);
+        this.room = Resources.of(spec);
         StepSpec.Need taskNeed = spec.need();
-        this.need = new Room(taskNeed.cpuMillis(), taskNeed.memoryMb(), taskNeed.accelerators());
+        this.need = new Resources(taskNeed.cpuMillis(), taskNeed.memoryMb(), taskNeed.accelerators());
         for (int i = 0; i < spec.count(); i++) {
             tasks.add(new LiveTask(this, new TaskId(time, number, i)));
         }
@@ -149,7 +149,7 @@
     }
 
     /** Returns the minimum amount that one placement requires: that of a single task, or of the whole gang. */
-    Room minPlacement() {
+    Resources minPlacement() {
         return spec.gang() ? need.times(tasks.size()) : need;
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
@@ -27,8 +27,8 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
-import org.lupinpaddle.core.placement.StepTime;
-import org.lupinpaddle.core.placement.Wish;
+import org.lupinpaddle.core.placement.PlacementRequest;
+import org.lupinpaddle.core.placement.StepRepetition;
 import org.lupinpaddle.core.placement.WorkerIncarnation;
 
 /** The scheduler's state of one task: its placement and its runs. */
@@ -59,7 +59,7 @@
 
     private static final int COMPLETE_PERCENT = 100;
     private static final WorkerIncarnation UNKNOWN_INCARNATION =
-            new WorkerIncarnation("", WorkerIncarnation.UNKNOWN_BIRTH);
+            new WorkerIncarnation("", WorkerIncarnation.UNKNOWN_START);
 
     // From the third attempt on, another rack is preferred: two failures on one rack may be caused by the rack.
     private static final int ATTEMPTS_BEFORE_OTHER_RACK = 2;
@@ -83,7 +83,7 @@
     final LiveJob job;
     final TaskId id;
     final StepSpec step;
-    final StepTime stepTime;
+    final StepRepetition stepTime;
     final LiveStep liveStep;
 
     Phase phase = Phase.WAITING;
@@ -179,7 +179,7 @@
         this.job = liveStep.job;
         this.id = id;
         this.step = liveStep.spec;
-        this.stepTime = new StepTime(job.spec.key(), id.time(), id.step());
+        this.stepTime = new StepRepetition(job.spec.key(), id.time(), id.step());
     }
 
     void enterPhase(Phase next, long now) {
@@ -293,12 +293,12 @@
         avoidUntil = now + AVOID_MILLIS * Math.max(1, failures);
     }
 
-    Wish placementRequirements(long now) {
+    PlacementRequest placementRequirements(long now) {
         avoidedWorkers.values().removeIf(a -> a.worker.ended);
         Set<String> avoidedDomains = failures >= ATTEMPTS_BEFORE_OTHER_RACK ? failedDomains : Set.of();
         boolean onlyProven = now < provenOnlyUntil;
         Set<String> excluded = onlyProven ? unprovenWorkers() : avoidedWorkers.keySet();
-        return new Wish(
+        return new PlacementRequest(
                 step,
                 stepTime,
                 excluded,
@@ -311,7 +311,7 @@
 
     /** Returns whether its run was assigned to an earlier incarnation of its worker. */
     boolean belongsToEarlierIncarnation() {
-        return worker != null && worker.incarnation().differsFrom(incarnation);
+        return worker != null && worker.incarnation().isKnownToDifferFrom(incarnation);
     }
 
     /** Returns the workers on which it has failed and no run has succeeded since. */
@@ -356,7 +356,7 @@
         boolean done = phase == Phase.DONE || workDone;
         // A completed task is never resumed; only gang members resume from each other's checkpoints.
         String resumeFrom = done && !step.gang() ? "" : checkpoint;
-        Long bornMillis = worker != null && incarnation.hasBirth() ? (Long) incarnation.bornMillis() : null;
+        Long bornMillis = worker != null && incarnation.hasStartTime() ? (Long) incarnation.startMillis() : null;
         return new TaskRecord(
                 id.time(),
                 id.step(),
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveWorker.java
@@ -20,8 +20,8 @@
 import java.util.Set;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.placement.Candidate;
-import org.lupinpaddle.core.placement.Room;
-import org.lupinpaddle.core.placement.StepTime;
+import org.lupinpaddle.core.placement.Resources;
+import org.lupinpaddle.core.placement.StepRepetition;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.placement.WorkerIncarnation;
 
@@ -67,7 +67,7 @@
 
     private long drainEndsAt = Long.MAX_VALUE;
     final Set<LiveTask> tasks = new LinkedHashSet<>();
-    private Room used = Room.NONE;
+    private Resources used = Resources.NONE;
     private int longRunningCount;
     private int fillerCount;
     private int suspectCount;
@@ -139,7 +139,7 @@
 
     LiveWorker(WorkerFacts facts, long inheritedUntil) {
         this.facts = facts;
-        this.incarnation = new WorkerIncarnation(facts.id(), WorkerIncarnation.UNKNOWN_BIRTH);
+        this.incarnation = new WorkerIncarnation(facts.id(), WorkerIncarnation.UNKNOWN_START);
         this.inheritedUntil = inheritedUntil;
     }
 
@@ -209,7 +209,7 @@
 
     /** Stores the birth that an answer states, if none is known. */
     void learnBirth(WorkerIncarnation answering, long now) {
-        if (answering.hasBirth() && !incarnation.hasBirth()) {
+        if (answering.hasStartTime() && !incarnation.hasStartTime()) {
             incarnation = answering;
             incarnationKnownAt = now;
         }
@@ -225,7 +225,7 @@
 
     /** Returns whether the store's entry may describe another incarnation, with other room and labels. */
     boolean hasEntryOfOtherIncarnation() {
-        return facts.incarnation().differsFrom(incarnation);
+        return facts.incarnation().isKnownToDifferFrom(incarnation);
     }
 
     void update(WorkerFacts f, long now) {
@@ -274,17 +274,17 @@
     }
 
     @Override
-    public Room free() {
+    public Resources free() {
         boolean reserved = isolatedCount > 0 && tasks.stream().anyMatch(this::isIsolated);
         if (reserved || (onProbation && tasks.stream().anyMatch(this::isUnproven))) {
-            return Room.NONE;
+            return Resources.NONE;
         }
-        return facts.room().minus(used);
+        return facts.capacity().minus(used);
     }
 
     /** Returns whether its tasks need more room than it has, because its room has shrunk since they were placed. */
     boolean exceedsCapacity() {
-        return !tasks.isEmpty() && !facts.room().holds(used);
+        return !tasks.isEmpty() && !facts.capacity().canHold(used);
     }
 
     /** Returns whether the task must not share the worker, because it may still crash it as it has crashed others. */
@@ -302,22 +302,22 @@
     }
 
     @Override
-    public boolean carriesLasting() {
+    public boolean runsLongRunningTask() {
         return longRunningCount > 0;
     }
 
     @Override
-    public boolean carriesSuspect() {
+    public boolean runsSuspectTask() {
         return suspectCount > 0;
     }
 
     @Override
-    public boolean isEmpty() {
+    public boolean isIdle() {
         return tasks.isEmpty();
     }
 
     @Override
-    public int carried(StepTime step) {
+    public int taskCount(StepRepetition step) {
         int n = 0;
         for (LiveTask t : tasks) {
             if (t.stepTime.equals(step)) {
@@ -328,13 +328,13 @@
     }
 
     @Override
-    public boolean isProven() {
+    public boolean lastRunSucceeded() {
         return lastSuccessAt != NO_SUCCESS;
     }
 
     /** Returns whether a run has succeeded on the worker since then and none has failed afterwards. */
     boolean isProvenSince(long then) {
-        return isProven() && lastSuccessAt > then;
+        return lastRunSucceeded() && lastSuccessAt > then;
     }
 
     void recordSuccess(long now) {
@@ -513,6 +513,6 @@
 
     /** Returns the result cursor and the birth, for the log. */
     String describe() {
-        return results + " born=" + incarnation.bornMillis();
+        return results + " born=" + incarnation.startMillis();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PlacementPass.java
@@ -21,7 +21,7 @@
 import java.util.Optional;
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.placement.Placer;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 
 /** Assigns waiting tasks to workers, the most urgent steps first. */
@@ -45,11 +45,11 @@
         if (usable.isEmpty()) {
             return;
         }
-        Room maxFree = maxFree(usable);
+        Resources maxFree = maxFree(usable);
         for (StepUrgency u : waitingStepsByUrgency(maxFree)) {
             LiveStep s = u.step();
             // Free room only shrinks while steps are placed.
-            if (maxFree.holds(s.room)) {
+            if (maxFree.canHold(s.room)) {
                 int waiting = s.waiting();
                 if (s.job.quota.mayPlace(s.minPlacement())) {
                     placeWithAdvice(s, usable);
@@ -63,21 +63,21 @@
         state.quotas.boundWaiting(totalFree(usable));
     }
 
-    private static Room totalFree(List<LiveWorker> workers) {
-        Room total = Room.NONE;
+    private static Resources totalFree(List<LiveWorker> workers) {
+        Resources total = Resources.NONE;
         for (LiveWorker w : workers) {
-            total = total.plus(w.free().orMore(Room.NONE));
+            total = total.plus(w.free().componentMax(Resources.NONE));
         }
         return total;
     }
 
     /** Returns the steps that have waiting tasks and might fit, the most urgent first. */
-    private List<StepUrgency> waitingStepsByUrgency(Room maxFree) {
+    private List<StepUrgency> waitingStepsByUrgency(Resources maxFree) {
         long wallMillis = state.wallNow();
         List<StepUrgency> steps = new ArrayList<>();
         for (LiveJob j : state.activeJobs.values()) {
             for (LiveStep s : j.steps) {
-                if (s.hasWaiting() && maxFree.holds(s.room) && s.isReady(wallMillis) && state.hasUniqueId(j)) {
+                if (s.hasWaiting() && maxFree.canHold(s.room) && s.isReady(wallMillis) && state.hasUniqueId(j)) {
                     steps.add(StepUrgency.of(s, wallMillis));
                 }
             }
@@ -90,10 +90,10 @@
      * Returns the maximum free amount of each resource on any one worker; a task that needs more of one resource fits
      * nowhere.
      */
-    private static Room maxFree(List<LiveWorker> workers) {
-        Room max = workers.get(0).free();
+    private static Resources maxFree(List<LiveWorker> workers) {
+        Resources max = workers.get(0).free();
         for (LiveWorker w : workers) {
-            max = max.orMore(w.free());
+            max = max.componentMax(w.free());
         }
         return max;
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/RackSelector.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RackSelector.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.stream.Collectors;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 
 /** Selects one rack for the tasks of a step that run faster on a common rack, if one has room for all of them. */
 final class RackSelector {
@@ -39,7 +39,7 @@
         long waiting = step.tasks.stream()
                 .filter(t -> t.phase == LiveTask.Phase.WAITING)
                 .count();
-        Room taskRoom = Room.of(step.spec);
+        Resources taskRoom = Resources.of(step.spec);
         return racks.entrySet().stream()
                 .filter(r -> capacityFor(taskRoom, r.getValue()) >= waiting)
                 .max(Comparator.<Map.Entry<String, List<LiveWorker>>>comparingLong(r -> placedOnRack(step, r.getKey()))
@@ -55,7 +55,7 @@
                 .count();
     }
 
-    private static long capacityFor(Room need, Collection<LiveWorker> workers) {
-        return workers.stream().mapToLong(w -> w.free().placesFor(need)).sum();
+    private static long capacityFor(Resources need, Collection<LiveWorker> workers) {
+        return workers.stream().mapToLong(w -> w.free().countOf(need)).sum();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/RestartTracker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RestartTracker.java
@@ -40,9 +40,9 @@
 
     /** Handles the store entry of a worker. */
     void onListed(LiveWorker w, WorkerFacts f) {
-        logUnreadable(w, f.bornMillis(), "entry");
+        logUnreadable(w, f.startMillis(), "entry");
         boolean restarted = f.incarnation().isLaterThan(w.incarnation())
-                && f.incarnation().differsFrom(w.facts().incarnation());
+                && f.incarnation().isKnownToDifferFrom(w.facts().incarnation());
         w.update(f, state.now());
         if (restarted) {
             // A hold sent to the earlier incarnation may remain unanswered until it times out.
@@ -80,8 +80,8 @@
 
     private @Nullable LiveWorker resolveIncarnation(LiveWorker w, long sentAt, HoldResponse answer) {
         WorkerIncarnation stated = new WorkerIncarnation(w.facts().id(), answer.bornMillis());
-        if (!stated.differsFrom(w.incarnation())) {
-            boolean restarted = !stated.hasBirth() && w.clockWentBack(answer.clockMillis(), sentAt);
+        if (!stated.isKnownToDifferFrom(w.incarnation())) {
+            boolean restarted = !stated.hasStartTime() && w.clockWentBack(answer.clockMillis(), sentAt);
             w.learnBirth(stated, state.now());
             return restarted ? replaceIncarnation(w, stated, answer) : w;
         }
@@ -95,7 +95,7 @@
         String firstResult = answer.ended().isEmpty()
                 ? ""
                 : " first-listed-end=" + answer.ended().get(0).number();
-        String detail = "born=" + incarnation.bornMillis() + " clock=" + answer.clockMillis() + firstResult + " tasks="
+        String detail = "born=" + incarnation.startMillis() + " clock=" + answer.clockMillis() + firstResult + " tasks="
                 + previous.tasks.size() + " before: " + previous.describe();
         state.note(SchedulerEvent.Kind.WORKER_RESTARTED, previous, detail);
         RecentLosses.Loss loss = RecentLosses.Loss.of(previous, state.now());
@@ -130,7 +130,7 @@
     }
 
     private void logUnreadable(LiveWorker w, long bornMillis, String source) {
-        if (bornMillis == WorkerIncarnation.UNREADABLE_BIRTH && !w.unreadableBirthLogged) {
+        if (bornMillis == WorkerIncarnation.UNREADABLE_START && !w.unreadableBirthLogged) {
             state.note(SchedulerEvent.Kind.BIRTH_UNREADABLE, w, "source=" + source);
             w.unreadableBirthLogged = true;
         }
--- a/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RunTracker.java
@@ -180,7 +180,7 @@
      */
     private void expectLateStart(StartOrder order) {
         LiveWorker w = state.workers.get(order.worker().id());
-        if (w != null && w.incarnation().differsFrom(order.worker().incarnation())) {
+        if (w != null && w.incarnation().isKnownToDifferFrom(order.worker().incarnation())) {
             state.expectForeignDeadlines(
                     w, state.unansweredStarts.latestArrival(order.worker().id(), state.now()));
         }
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
@@ -23,7 +23,7 @@
 import org.lupinpaddle.core.capacity.Demand;
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.capacity.WorkerLoad;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.LiveTask.Phase;
 
 /** Builds the report of the owner of a service. */
@@ -51,12 +51,12 @@
             }
             add(job, demands);
         }
-        Room smallestRoom = smallestWorkerRoom();
-        double ahead = state.trend.ahead(state.now(), demands.all.need(smallestRoom));
-        int needed = (int) Math.max(demands.all.fewest(), Math.ceil(ahead));
-        demands.onTime.flows(state.arrivals.room(state.now()));
-        int firm = (int) Math.max(demands.onTime.fewest(), Math.ceil(demands.onTime.need(smallestRoom)));
-        int late = (int) Math.ceil(demands.late.need(smallestRoom));
+        Resources smallestRoom = smallestWorkerRoom();
+        double ahead = state.trend.forecast(state.now(), demands.all.requiredWorkers(smallestRoom));
+        int needed = (int) Math.max(demands.all.minWorkers(), Math.ceil(ahead));
+        demands.onTime.setArrivals(state.arrivals.averageResources(state.now()));
+        int firm = (int) Math.max(demands.onTime.minWorkers(), Math.ceil(demands.onTime.requiredWorkers(smallestRoom)));
+        int late = (int) Math.ceil(demands.late.requiredWorkers(smallestRoom));
         return new ServiceReport(pending, needed, firm, late, workerLoads());
     }
 
@@ -95,7 +95,7 @@
         double largestStep = 0;
         for (LiveStep s : steps) {
             double cpu = (double) s.room.cpuMillis() * s.unfinished();
-            requested += cpu * Demand.share(state.expectedMillis(s), available);
+            requested += cpu * Demand.requiredTimeShare(state.expectedMillis(s), available);
             largestStep = Math.max(largestStep, cpu);
             ready += s.isReady(wallMillis) ? cpu : 0;
         }
@@ -109,25 +109,25 @@
             if (t.phase == Phase.DONE) {
                 continue;
             }
-            demand.spreadOver(t.workersNeeded());
+            demand.requireWorkers(t.workersNeeded());
             if (s.spec.longRunning()) {
-                demand.addLasting(s.room);
+                demand.addLongRunning(s.room);
             } else {
                 demand.addFinite(s.room, t.remainingMillis(expected), available, share, t.phase.occupiesWorker());
             }
         }
         if (s.spec.longRunning() && s.spec.perWorkerMost() > 0) {
-            demand.spreadOver((s.spec.count() + s.spec.perWorkerMost() - 1) / s.spec.perWorkerMost());
+            demand.requireWorkers((s.spec.count() + s.spec.perWorkerMost() - 1) / s.spec.perWorkerMost());
         }
     }
 
     /** Returns the room of the smallest worker: a task that fits there fits everywhere. */
-    private Room smallestWorkerRoom() {
+    private Resources smallestWorkerRoom() {
         return state.workers.values().stream()
-                .map(w -> w.facts().room())
+                .map(w -> w.facts().capacity())
                 .filter(r -> r.cpuMillis() > 0)
-                .min(Comparator.comparingLong(Room::cpuMillis))
-                .orElse(Room.NONE);
+                .min(Comparator.comparingLong(Resources::cpuMillis))
+                .orElse(Resources.NONE);
     }
 
     private List<WorkerLoad> workerLoads() {
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceState.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceState.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Placer;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.workspace.QuotaTable;
 
@@ -128,7 +128,7 @@
     }
 
     private WorkerFacts unknownWorkerFacts(String id) {
-        return new WorkerFacts(id, service, "", "", true, 0, Room.NONE, List.of());
+        return new WorkerFacts(id, service, "", "", true, 0, Resources.NONE, List.of());
     }
 
     /** Returns whether the list of workers is recent enough to place and start tasks. */
@@ -172,7 +172,7 @@
     /** Returns whether another worker has room for the task now. */
     boolean canMoveElsewhere(LiveTask t) {
         return workers.values().stream()
-                .anyMatch(o -> o != t.worker && isUsable(o) && Placer.mayCarry(o, t.placementRequirements(now())));
+                .anyMatch(o -> o != t.worker && isUsable(o) && Placer.isEligible(o, t.placementRequirements(now())));
     }
 
     /** Returns the expected run time of a task of the step: the mean of its completed siblings if there is one. */
--- a/core/src/main/java/org/lupinpaddle/core/run/Suspicion.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/Suspicion.java
@@ -15,25 +15,25 @@
  */
 package org.lupinpaddle.core.run;
 
-import org.lupinpaddle.core.placement.Company;
+import org.lupinpaddle.core.placement.Colocation;
 
 /** How strongly a task is suspected of crashing workers. Each crash may also be a coincidence. */
 enum Suspicion {
     /** No worker has crashed while running it. */
-    NONE(Company.ANY),
+    NONE(Colocation.ANY),
     /** One worker has crashed. Any task that ran there may be the cause, so these suspects are kept apart. */
-    APART(Company.NO_SUSPECT),
+    APART(Colocation.NO_OTHER_SUSPECT),
     /**
      * Several workers have crashed. The task runs alone, so that another crash harms no other task and incriminates
      * only this one.
      */
-    ALONE(Company.NONE);
+    ALONE(Colocation.EXCLUSIVE);
 
     private static final int CRASHES_UNTIL_ALONE = 2;
 
-    private final Company company;
+    private final Colocation company;
 
-    Suspicion(Company company) {
+    Suspicion(Colocation company) {
         this.company = company;
     }
 
@@ -44,7 +44,7 @@
         return crashes < CRASHES_UNTIL_ALONE ? APART : ALONE;
     }
 
-    Company company() {
+    Colocation company() {
         return company;
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
@@ -42,31 +42,31 @@
 import org.lupinpaddle.core.slot.SlotMessage.Release;
 
 /**
- * Grants the slots of one service's workers to the entries that can reach this one. One queue orders all
- * asks by arrival and urgency, so urgent work that comes in at any entry goes before other work that
- * waits at any other. The owner is the entry that rendezvous hashing names; nothing is kept for it. Two
- * entries that both think they own a service for a moment cost refusals by workers, and no promise: the
- * worker itself is the last judge of its slots.
+ * Grants the slots of one service's workers to all reachable entries. A single queue orders all asks by arrival
+ * and urgency, so urgent work from any entry goes before other work that waits at any entry. The owner is
+ * selected by rendezvous hashing and stores nothing. If two entries briefly both act as owner, the only effect is
+ * refusals by workers: the worker itself enforces the limit of its slots.
  */
 public final class SlotOwner {
 
     // Weight of the newest run time in the running mean.
     private static final double MEAN_WEIGHT = 0.05;
-    private static final int FEWEST_RUNS = 8;
-    // Run times are often far off: only a wait twice as long as the time left is called hopeless.
+    private static final int MIN_RUNS = 8;
+    // Run time estimates are often far off. An ask is refused as hopeless only if the expected wait is twice the
+    // remaining time.
     private static final double HOPELESS_FACTOR = 0.5;
-    private static final int MOST_EJECTED_SHARE = 3;
+    private static final int MAX_EJECTED_DIVISOR = 3;
 
-    // A grant younger than this may still be on its way to the entry that reports.
-    private static final long SETTLED_MILLIS = 4_000;
-    // Entries report every few seconds to the owner they know: what nobody reports is in use nowhere.
-    private static final long UNREPORTED_MILLIS = 15_000;
+    // A grant younger than this may not have reached the reporting entry yet.
+    private static final long GRANT_DELIVERY_MILLIS = 4_000;
+    // Entries report to their owner every few seconds, so a grant that no entry reports is not in use.
+    private static final long UNREPORTED_TIMEOUT_MILLIS = 15_000;
 
     private final String service;
-    private final int places;
+    private final int queueCapacity;
     private final RandomGenerator random;
     private final Map<String, Worker> workers = new TreeMap<>();
-    private final Map<Long, Held> held = new HashMap<>();
+    private final Map<Long, HeldGrant> heldGrants = new HashMap<>();
     private final TreeSet<Waiting> queue =
             new TreeSet<>(Comparator.<Waiting>comparingLong(w -> w.orderTime).thenComparingLong(w -> w.sequence));
     private final Map<AskKey, Waiting> waiting = new HashMap<>();
@@ -74,14 +74,19 @@
     private double meanRunMillis;
     private int runs;
 
-    /** Makes the owner of a service's slots whose queue has {@code places}; {@code random} makes grant ids. */
-    public SlotOwner(String service, int places, RandomGenerator random) {
+    /**
+     * Creates the owner of a service's slots.
+     *
+     * @param queueCapacity the length limit of the queue
+     * @param random the source of grant ids
+     */
+    public SlotOwner(String service, int queueCapacity, RandomGenerator random) {
         this.service = service;
-        this.places = places;
+        this.queueCapacity = queueCapacity;
         this.random = random;
     }
 
-    /** Takes the workers of the service as now known. */
+    /** Sets the known workers of the service. */
     public List<Outgoing> onWorkers(Collection<WorkerInfo> infos, long now) {
         Map<String, Worker> old = new HashMap<>(workers);
         workers.clear();
@@ -93,7 +98,7 @@
         return dispatch(now);
     }
 
-    /** Takes an ask of an entry. */
+    /** Handles an ask from an entry. */
     public List<Outgoing> onAsk(String entry, Ask ask, long now) {
         AskKey key = new AskKey(entry, ask.ask());
         if (waiting.containsKey(key)) {
@@ -120,38 +125,39 @@
         if (workers.values().stream().noneMatch(w -> w.info.memoryMb() >= ask.memoryMb())) {
             return Optional.of(refused(ask, GiveUpReason.TOO_LARGE, 0));
         }
-        if (queue.size() >= ask.urgency().queuePlaces(places)) {
-            return Optional.of(refused(ask, GiveUpReason.SHED, comeBack(GiveUpReason.SHED)));
+        if (queue.size() >= ask.urgency().queuePlaces(queueCapacity)) {
+            return Optional.of(refused(ask, GiveUpReason.SHED, retryAfterMillis(GiveUpReason.SHED)));
         }
         long ahead = queue.stream()
                 .filter(w -> w.orderTime <= ask.urgency().orderTime(now - ask.waitedMillis()))
                 .count();
-        if (ahead > 0 && expectedWait(ahead, now) * HOPELESS_FACTOR > ask.remainingMillis()) {
-            return Optional.of(refused(ask, GiveUpReason.HOPELESS, comeBack(GiveUpReason.HOPELESS)));
+        if (ahead > 0 && expectedWaitMillis(ahead, now) * HOPELESS_FACTOR > ask.remainingMillis()) {
+            return Optional.of(refused(ask, GiveUpReason.HOPELESS, retryAfterMillis(GiveUpReason.HOPELESS)));
         }
         return Optional.empty();
     }
 
-    private Refused refused(Ask ask, GiveUpReason reason, long comeBackMillis) {
-        return new Refused(service, ask.ask(), reason, comeBackMillis);
+    private Refused refused(Ask ask, GiveUpReason reason, long retryAfterMillis) {
+        return new Refused(service, ask.ask(), reason, retryAfterMillis);
     }
 
-    // Spread over half again its length, so that callers told the same do not come back as one burst.
-    private long comeBack(GiveUpReason reason) {
-        long drain = (long) expectedWait(queue.size(), 0);
-        long base = Math.max(reason.comeBackMillis(), Math.min(drain, 60_000));
-        return base + random.nextLong(base / 2 + 1);
+    // Adds up to half of the delay at random, so that callers that were given the same delay do not return in one
+    // burst.
+    private long retryAfterMillis(GiveUpReason reason) {
+        long drainMillis = (long) expectedWaitMillis(queue.size(), 0);
+        long baseMillis = Math.max(reason.comeBackMillis(), Math.min(drainMillis, 60_000));
+        return baseMillis + random.nextLong(baseMillis / 2 + 1);
     }
 
-    private double expectedWait(long ahead, long now) {
-        if (runs < FEWEST_RUNS) {
+    private double expectedWaitMillis(long ahead, long now) {
+        if (runs < MIN_RUNS) {
             return 0;
         }
         int slots = workers.values().stream().mapToInt(w -> w.usableSlots(now)).sum();
         return ahead * meanRunMillis / Math.max(1, slots);
     }
 
-    /** Takes back an ask. */
+    /** Cancels an ask. */
     public void onCancel(String entry, long ask) {
         Waiting w = waiting.remove(new AskKey(entry, ask));
         if (w != null) {
@@ -159,78 +165,80 @@
         }
     }
 
-    /** Takes back a grant, also one of an earlier owner. */
+    /** Handles the release of a grant, which may come from an earlier owner. */
     public List<Outgoing> onRelease(Release release, long now) {
-        Held h = held.remove(release.grant());
+        HeldGrant h = heldGrants.remove(release.grant());
         Worker w = workers.get(release.worker());
         if (h != null && release.outcome() == AttemptOutcome.ANSWERED) {
-            learnRunTime(now - h.since);
+            addRunTime(now - h.since);
         }
         if (w != null) {
             if (h != null) {
                 w.inUse--;
             }
             w.health.onOutcome(release.outcome(), now);
-            ejectIfBad(w, now);
+            ejectIfUnhealthy(w, now);
         }
         return dispatch(now);
     }
 
-    private void learnRunTime(long millis) {
+    private void addRunTime(long millis) {
         runs++;
         meanRunMillis = runs == 1 ? millis : meanRunMillis + MEAN_WEIGHT * (millis - meanRunMillis);
     }
 
-    private void ejectIfBad(Worker w, long now) {
-        long out = workers.values().stream().filter(x -> x.health.isOut()).count();
-        long most = workers.size() < 2 ? 0 : Math.max(1, workers.size() / MOST_EJECTED_SHARE);
-        double peers = workers.values().stream()
-                .filter(x -> x != w && !x.health.isOut())
-                .mapToDouble(x -> x.health.rate())
+    private void ejectIfUnhealthy(Worker w, long now) {
+        long ejectedCount = workers.values().stream()
+                .filter(x -> x.health.isEjectedOrProbing())
+                .count();
+        long maxEjected = workers.size() < 2 ? 0 : Math.max(1, workers.size() / MAX_EJECTED_DIVISOR);
+        double peerSuccessRate = workers.values().stream()
+                .filter(x -> x != w && !x.health.isEjectedOrProbing())
+                .mapToDouble(x -> x.health.successRate())
                 .average()
                 .orElse(0);
-        if (out < most && w.health.isBad(peers, now)) {
+        if (ejectedCount < maxEjected && w.health.isUnhealthy(peerSuccessRate, now)) {
             w.health.eject(now);
         }
     }
 
     /**
-     * Takes an entry's report of all the grants that it holds. Grants of an earlier owner are added; a
-     * grant of ours that the entry does not name was lost on the way and is let go of.
+     * Handles an entry's report of all its grants. Grants of an earlier owner are added. A grant of this owner
+     * that the report does not name was lost in transit and is released.
      */
     public List<Outgoing> onInUse(String entry, InUse report, long now) {
-        Set<Long> named = report.grants().stream().map(Grant::id).collect(Collectors.toSet());
-        letGo(h -> h.entry.equals(entry) && now - h.since >= SETTLED_MILLIS, named);
+        Set<Long> reportedIds = report.grants().stream().map(Grant::id).collect(Collectors.toSet());
+        releaseMatching(h -> h.entry.equals(entry) && now - h.since >= GRANT_DELIVERY_MILLIS, reportedIds);
         for (Grant g : report.grants()) {
-            takeReported(entry, g, now);
+            addReportedGrant(entry, g, now);
         }
         return dispatch(now);
     }
 
-    private void takeReported(String entry, Grant g, long now) {
-        Held known = held.get(g.id());
+    private void addReportedGrant(String entry, Grant g, long now) {
+        HeldGrant known = heldGrants.get(g.id());
         Worker w = workers.get(g.worker());
         if (known != null) {
-            held.put(g.id(), new Held(entry, g.worker(), known.since, now));
+            heldGrants.put(g.id(), new HeldGrant(entry, g.worker(), known.since, now));
         } else if (w != null) {
-            held.put(g.id(), new Held(entry, g.worker(), now, now));
+            heldGrants.put(g.id(), new HeldGrant(entry, g.worker(), now, now));
             w.inUse++;
         }
     }
 
-    /** Lets go of all that an entry asked for and held, since the entry is gone. */
+    /** Drops all asks and grants of an entry that is gone. */
     public List<Outgoing> onEntryGone(String entry, long now) {
         queue.removeIf(w -> w.key.entry.equals(entry));
         waiting.keySet().removeIf(k -> k.entry.equals(entry));
-        letGo(h -> h.entry.equals(entry), Set.of());
+        releaseMatching(h -> h.entry.equals(entry), Set.of());
         return dispatch(now);
     }
 
-    private void letGo(Predicate<Held> which, Set<Long> butNot) {
-        Iterator<Map.Entry<Long, Held>> it = held.entrySet().iterator();
+    private void releaseMatching(Predicate<HeldGrant> condition, Set<Long> exceptIds) {
+        Iterator<Map.Entry<Long, HeldGrant>> it = heldGrants.entrySet().iterator();
         while (it.hasNext()) {
-            Map.Entry<Long, Held> e = it.next();
-            if (which.test(e.getValue()) && !butNot.contains(e.getKey())) {
+            Map.Entry<Long, HeldGrant> e = it.next();
+            if (condition.test(e.getValue()) && !exceptIds.contains(e.getKey())) {
                 it.remove();
                 Worker w = workers.get(e.getValue().worker);
                 if (w != null) {
@@ -240,10 +248,10 @@
         }
     }
 
-    /** Grants what has become free with time alone, and drops asks whose time has passed. */
+    /** Drops expired asks, releases unreported grants, and grants slots that became free over time. */
     public List<Outgoing> onTick(long now) {
         queue.stream().filter(w -> now >= w.deadline).toList().forEach(this::drop);
-        letGo(h -> now - h.reportedAt >= UNREPORTED_MILLIS, Set.of());
+        releaseMatching(h -> now - h.reportedAt >= UNREPORTED_TIMEOUT_MILLIS, Set.of());
         return dispatch(now);
     }
 
@@ -275,7 +283,8 @@
     private void refuseAll(List<Outgoing> out) {
         for (Waiting w : List.copyOf(queue)) {
             drop(w);
-            out.add(new Outgoing(w.key.entry, refused(w.ask, GiveUpReason.CUT_OFF, comeBack(GiveUpReason.CUT_OFF))));
+            out.add(new Outgoing(
+                    w.key.entry, refused(w.ask, GiveUpReason.CUT_OFF, retryAfterMillis(GiveUpReason.CUT_OFF))));
         }
     }
 
@@ -284,10 +293,10 @@
     }
 
     private Optional<Worker> choose(Ask ask, long now) {
-        List<Worker> fit = workers.values().stream()
+        List<Worker> candidates = workers.values().stream()
                 .filter(w -> w.free(now) > 0 && w.info.memoryMb() >= ask.memoryMb())
                 .toList();
-        return fit.stream()
+        return candidates.stream()
                 .min(Comparator.<Worker>comparingInt(w -> w.probeRank(ask))
                         .thenComparingInt(w -> ask.avoid().contains(w.info.id()) ? 1 : 0)
                         .thenComparingInt(w -> w.info.hall().equals(ask.hall()) ? 0 : 1)
@@ -299,32 +308,32 @@
         drop(w);
         long id = random.nextLong();
         String workerId = worker.info.id();
-        held.put(id, new Held(w.key.entry, workerId, now, now));
+        heldGrants.put(id, new HeldGrant(w.key.entry, workerId, now, now));
         worker.inUse++;
         out.add(new Outgoing(w.key.entry, new Granted(service, w.ask.ask(), new Grant(id, workerId))));
     }
 
-    /** Returns how many asks wait. */
+    /** Returns the number of queued asks. */
     public int queueLength() {
         return queue.size();
     }
 
-    /** Returns how many grants are out. */
+    /** Returns the number of grants in use. */
     public int grantsInUse() {
-        return held.size();
+        return heldGrants.size();
     }
 
-    /** Returns the workers that are ejected or on probe. */
+    /** Returns the workers that are ejected or being probed. */
     public List<String> ejected() {
         return workers.values().stream()
-                .filter(w -> w.health.isOut())
+                .filter(w -> w.health.isEjectedOrProbing())
                 .map(w -> w.info.id())
                 .toList();
     }
 
     private record AskKey(String entry, long ask) {}
 
-    private record Held(String entry, String worker, long since, long reportedAt) {}
+    private record HeldGrant(String entry, String worker, long since, long reportedAt) {}
 
     private static final class Waiting {
         private final AskKey key;
@@ -351,10 +360,10 @@
             return info.usable() ? health.usableSlots(info.slots(), now) : 0;
         }
 
-        // A worker whose ejection is over is tried with the next request that is not urgent: on a service
-        // with little load it would else never be chosen, and stay out for ever.
+        // A worker whose ejection has ended is probed with the next request that is not urgent. On a service with
+        // little load it would otherwise never be chosen and would stay ejected.
         private int probeRank(Ask ask) {
-            if (!health.isOut()) {
+            if (!health.isEjectedOrProbing()) {
                 return 1;
             }
             return ask.urgency() == Urgency.URGENT ? 2 : 0;
--- a/core/src/test/java/org/lupinpaddle/core/run/CrashTrackerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/CrashTrackerTest.java
@@ -131,8 +131,8 @@
             d.submit("a", ONE);
             startAccepted();
             WorkerFacts w = SchedulerDriver.worker("w1");
-            d.scheduler.onWorkers(List.of(
-                    new WorkerFacts(w.id(), w.service(), w.address(), w.hall(), true, 1_000, w.room(), w.labels())));
+            d.scheduler.onWorkers(List.of(new WorkerFacts(
+                    w.id(), w.service(), w.address(), w.hall(), true, 1_000, w.capacity(), w.labels())));
             d.answerAsOtherIncarnation("w1");
             assertEquals(0, lastRecord().knownCrashes());
         }
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -522,7 +522,7 @@
         /** Guards against losing a worker, or aborting a pass, because of an unreadable birth. */
         @Test
         void isLoggedOnceAndTheWorkerIsUsed() {
-            long unreadable = WorkerIncarnation.UNREADABLE_BIRTH;
+            long unreadable = WorkerIncarnation.UNREADABLE_START;
             d.scheduler.onWorkers(List.of(SchedulerDriver.workerBornAt("w1", unreadable)));
             d.advance(1);
             d.answerHoldAs("w1", unreadable, OLD_CLOCK, List.of(), List.of());
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -24,8 +24,8 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
@@ -36,7 +36,7 @@
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.HoldOrder;
 import org.lupinpaddle.core.run.HoldResponse;
@@ -104,7 +104,7 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             throw new UnsupportedOperationException("not needed here");
         }
     }
@@ -203,8 +203,8 @@
     }
 
     private void aWorkerAndAJob() {
-        WorkerFacts w =
-                new WorkerFacts("w1", "clips", "at-w1", "north", false, 0, new Room(4_000, 8_000, 0), List.of("rack"));
+        WorkerFacts w = new WorkerFacts(
+                "w1", "clips", "at-w1", "north", false, 0, new Resources(4_000, 8_000, 0), List.of("rack"));
         store.set("worker/w1", RecordCodec.write(w));
         StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
         JobKey key = new JobKey("q", "a");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -24,8 +24,8 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.EndKind;
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.queue.JobConfiguration;
 import org.lupinpaddle.core.queue.QueueConfig;
@@ -126,7 +126,7 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             CompletableFuture<InstanceOrderOutcome> r = new CompletableFuture<>();
             orders.add(r);
             return r;
@@ -158,7 +158,7 @@
     }
 
     void lists(String worker, boolean draining) {
-        Room room = new Room(1_000, 8_000, 0);
+        Resources room = new Resources(1_000, 8_000, 0);
         WorkerFacts w = new WorkerFacts(
                 worker, "clips", "at-" + worker, "north", draining, draining ? 2_000 : 0, room, List.of("rack"));
         store.set("worker/" + worker, RecordCodec.write(w));
