--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
@@ -22,14 +22,15 @@
 import org.lupinpaddle.daemon.common.Log;
 
 /**
- * Reads a prefix page by page. What has been read is kept: a page whose answer was lost is asked for again by itself, so
+ * Reads a prefix page by page. What has been read is kept: a page whose answer was retryable is asked for again by itself, so
  * that a long read over a poor connection comes to an end.
  */
 final class PageReader {
 
-    // A page is bounded by the time in which nothing of it arrives, so the next try is not likelier to fail; three lost
+    // A page is bounded by the time in which nothing of it arrives, so the next try is not likelier to fail; three
+    // retryable
     // in a row speak against the store or the link.
-    private static final int MOST_TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final KeyValueStore store;
     private final String prefix;
@@ -51,11 +52,11 @@
     private CompletableFuture<StoreRange> page(int attempt) {
         String after = items.isEmpty() ? "" : items.get(items.size() - 1).key();
         return store.page(prefix, after)
-                .handle((p, why) -> why == null ? taken(p) : failed(why, attempt))
+                .handle((p, why) -> why == null ? onPageRead(p) : onFailure(why, attempt))
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<StoreRange> taken(StorePage p) {
+    private CompletableFuture<StoreRange> onPageRead(StorePage p) {
         onPage.run();
         // A watch from the first page's revision shows what has changed on any page since.
         revision = items.isEmpty() ? p.revision() : revision;
@@ -65,12 +66,12 @@
                 : CompletableFuture.completedFuture(new StoreRange(items, revision));
     }
 
-    private CompletableFuture<StoreRange> failed(Throwable why, int attempt) {
+    private CompletableFuture<StoreRange> onFailure(Throwable why, int attempt) {
         Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
         // A refusal says that the store is busy or the rate used up for a moment: nothing that was read is wrong.
-        boolean lost = cause instanceof StoreException e && e.kind() != StoreException.Kind.HISTORY_GONE;
+        boolean retryable = cause instanceof StoreException e && e.kind() != StoreException.Kind.HISTORY_GONE;
         // Before the first page there is nothing to keep: whoever reads decides when to begin again.
-        if (items.isEmpty() || !lost || attempt >= MOST_TRIES) {
+        if (items.isEmpty() || !retryable || attempt >= MAX_ATTEMPTS) {
             return CompletableFuture.failedFuture(cause);
         }
         Log.info("page-asked-again", "prefix", prefix, "items", items.size(), "attempt", attempt, "why", cause);
