--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkspacesInForce.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ActiveWorkspaces.java
@@ -25,4 +25,4 @@
  * @param confirmed whether the watch of the configuration works, so that a newer one is known here soon
  * @param workspaces the workspaces
  */
-record WorkspacesInForce(String key, long revision, boolean confirmed, Workspaces workspaces) {}
+record ActiveWorkspaces(String key, long revision, boolean confirmed, Workspaces workspaces) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
@@ -81,9 +81,9 @@
     }
 
     /** Returns the workspaces of the configuration in force. */
-    WorkspacesInForce workspaces() {
+    ActiveWorkspaces workspaces() {
         Workspaces known = current().map(JobConfiguration::workspaces).orElse(Workspaces.NONE);
-        return new WorkspacesInForce(records.configurationKey(), revision, isConfirmed(), known);
+        return new ActiveWorkspaces(records.configurationKey(), revision, isConfirmed(), known);
     }
 
     /** Returns whether the watch works, so that a newer configuration is known here soon. */
@@ -127,7 +127,7 @@
         if (!item.key().equals(records.configurationKey()) || item.revision() <= revision) {
             return;
         }
-        JobConfiguration read = unreadable.taken(Kind.CONFIGURATION, item, records.configuration(item));
+        JobConfiguration read = unreadable.recordOrNull(Kind.CONFIGURATION, item, records.configuration(item));
         if (read == null) {
             // The last one that could be read holds on; jobs are taken on the condition that the store has nothing
             // newer.
@@ -152,11 +152,11 @@
     }
 
     private void reportRejected(List<Workspaces.Rejected> rejected) {
-        unreadable.onlyThese(
+        unreadable.retainOnly(
                 WORKSPACE_PREFIX,
                 rejected.stream().map(w -> WORKSPACE_PREFIX + w.name()).collect(Collectors.toSet()));
         for (Workspaces.Rejected w : rejected) {
-            unreadable.unreadable(
+            unreadable.markUnreadable(
                     new UnreadableEntries.Entry(Kind.WORKSPACE, WORKSPACE_PREFIX + w.name(), revision, w.why()));
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -38,15 +38,15 @@
 
     private final EventLoop loop;
     private final String service;
-    private final OwnedRecords records;
+    private final FencedRecordWriter records;
     private final UnreadableEntries unreadable;
     private final PrefixWatch watch;
     private final BiConsumer<Set<String>, Set<String>> onChange;
-    private final Map<String, StoreItem> asked = new HashMap<>();
+    private final Map<String, StoreItem> requests = new HashMap<>();
     private boolean read;
     /** Workers whose request was readable once and is not now; such a one is not answered. */
-    private final Set<String> unread = new HashSet<>();
-    /** The revision of the request that was answered last, by worker: asked anew, it is answered anew. */
+    private final Set<String> unreadableWorkers = new HashSet<>();
+    /** The revision of the request that was answered last, by worker: requests anew, it is answered anew. */
     private final Map<String, Long> answered = new HashMap<>();
 
     /**
@@ -59,7 +59,7 @@
             KeyValueStore store,
             EventLoop loop,
             String service,
-            OwnedRecords records,
+            FencedRecordWriter records,
             UnreadableEntries unreadable,
             BiConsumer<Set<String>, Set<String>> onChange) {
         this.loop = loop;
@@ -67,7 +67,8 @@
         this.records = records;
         this.unreadable = unreadable;
         this.onChange = onChange;
-        watch = new PrefixWatch(store, loop, JobKeys.evacuations(service), PrefixWatch.Listener.same(this::changed));
+        watch = new PrefixWatch(
+                store, loop, JobKeys.evacuations(service), PrefixWatch.Listener.forAnyChange(this::changed));
     }
 
     void start() {
@@ -81,33 +82,33 @@
 
     private void changed() {
         read = true;
-        Map<String, StoreItem> before = Map.copyOf(asked);
-        asked.clear();
-        unread.clear();
-        unreadable.onlyThese(JobKeys.evacuations(service), watch.items());
+        Map<String, StoreItem> before = Map.copyOf(requests);
+        requests.clear();
+        unreadableWorkers.clear();
+        unreadable.retainOnly(JobKeys.evacuations(service), watch.items());
         Set<String> urgent = new HashSet<>();
         for (StoreItem i : watch.items()) {
-            EvacuationRecord r = unreadable.taken(Kind.EVACUATION, i, read(i));
+            EvacuationRecord r = unreadable.recordOrNull(Kind.EVACUATION, i, read(i));
             if (r == null) {
-                keep(i, before);
+                keepLastReadable(i, before);
             } else {
-                asked.put(r.worker(), i);
+                requests.put(r.worker(), i);
                 if (r.urgent()) {
                     urgent.add(r.worker());
                 }
             }
         }
-        answered.keySet().retainAll(asked.keySet());
-        onChange.accept(asked.keySet(), urgent);
+        answered.keySet().retainAll(requests.keySet());
+        onChange.accept(requests.keySet(), urgent);
     }
 
     /** A request that was good is not taken back by what nobody can read: its errand may be about to be ordered. */
-    private void keep(StoreItem i, Map<String, StoreItem> before) {
+    private void keepLastReadable(StoreItem i, Map<String, StoreItem> before) {
         String worker = JobKeys.evacuatedWorker(i.key());
         StoreItem good = before.get(worker);
         if (good != null) {
-            asked.put(worker, good);
-            unread.add(worker);
+            requests.put(worker, good);
+            unreadableWorkers.add(worker);
         }
     }
 
@@ -116,9 +117,9 @@
      * lost what was answered before; so each one that does not show the answer gets it.
      */
     void answerEmpty(String worker) {
-        StoreItem item = asked.get(worker);
+        StoreItem item = requests.get(worker);
         if (item == null
-                || unread.contains(worker)
+                || unreadableWorkers.contains(worker)
                 || Long.valueOf(item.revision()).equals(answered.get(worker))) {
             return;
         }
@@ -131,9 +132,9 @@
     }
 
     private void write(String worker, StoreItem item, String answer) {
-        records.known(item.key(), item.revision());
+        records.expectRevision(item.key(), item.revision());
         records.write(Map.of(item.key(), answer), outcome -> {
-            if (outcome == OwnedRecords.Outcome.RETRY || outcome == OwnedRecords.Outcome.OVERTAKEN) {
+            if (outcome == FencedRecordWriter.Outcome.RETRY || outcome == FencedRecordWriter.Outcome.OVERTAKEN) {
                 loop.after(RETRY_MILLIS, () -> answered.remove(worker, item.revision()));
             }
         });
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnedRecords.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
@@ -33,12 +33,12 @@
  * is the one last known. The second keeps a write that got no answer from replacing a newer one when it is
  * carried out late.
  */
-final class OwnedRecords {
+final class FencedRecordWriter {
 
     private static final long RETRY_MILLIS = 150;
     // A call takes 32 rows: one for the ownership, and a condition and a value for each record.
     /** The most records of one write. */
-    static final int MOST_AT_ONCE = 15;
+    static final int MAX_RECORDS_PER_WRITE = 15;
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -50,8 +50,8 @@
 
     private final List<Map<String, String>> queue = new ArrayList<>();
     private boolean writing;
-    /** So many of the next writes go by themselves, since the store refused them together. */
-    private int oneByOne;
+    /** So many of the next writes go by themselves, since the store refused them merged. */
+    private int unmergedWrites;
 
     /** What became of a write. */
     enum Outcome {
@@ -67,7 +67,7 @@
         NOT_OWNER
     }
 
-    OwnedRecords(KeyValueStore store, EventLoop loop, String duty, long fence) {
+    FencedRecordWriter(KeyValueStore store, EventLoop loop, String duty, long fence) {
         this.store = store;
         this.loop = loop;
         this.ownerKey = JobKeys.owner(duty);
@@ -75,12 +75,12 @@
     }
 
     /** Takes in the revision that the next write of a record is to meet. */
-    void known(String key, long revision) {
+    void expectRevision(String key, long revision) {
         revisions.put(key, revision);
     }
 
     /** Takes in a revision of a record that a watch has shown; a newer one that is known counts more. */
-    void seen(String key, long revision) {
+    void observeRevision(String key, long revision) {
         revisions.merge(key, revision, Math::max);
     }
 
@@ -93,7 +93,7 @@
     }
 
     /** Returns how many writes wait for their turn, or for the store. */
-    int waiting() {
+    int pendingWrites() {
         return queue.size();
     }
 
@@ -137,7 +137,7 @@
 
     /**
      * Writes values in the order of the calls, each until it is durable. What gathers while the store is asked goes
-     * together: a write takes the store 10 ms and more, and an owner may have a hundred of them at a time.
+     * merged: a write takes the store 10 ms and more, and an owner may have a hundred of them at a time.
      */
     void writeInOrder(Map<String, String> values, Runnable notOwner) {
         queue.add(new LinkedHashMap<>(values));
@@ -148,19 +148,19 @@
         if (writing || queue.isEmpty()) {
             return;
         }
-        Map<String, String> together = new LinkedHashMap<>();
-        int taken = gather(together);
+        Map<String, String> merged = new LinkedHashMap<>();
+        int mergedCount = mergeQueued(merged);
         writing = true;
-        write(together, outcome -> {
+        write(merged, outcome -> {
             writing = false;
             switch (outcome) {
                 case SAVED -> {
-                    queue.subList(0, taken).clear();
+                    queue.subList(0, mergedCount).clear();
                     writeNext(notOwner);
                 }
                 case OVERTAKEN -> writeNext(notOwner);
                 case REJECTED -> {
-                    passOver(taken);
+                    skipRejected(mergedCount);
                     writeNext(notOwner);
                 }
                 case RETRY -> loop.after(RETRY_MILLIS, () -> writeNext(notOwner));
@@ -172,10 +172,10 @@
         });
     }
 
-    /** Leaves a write out that the store will never take; where several went together, they are written one by one. */
-    private void passOver(int taken) {
-        if (taken > 1) {
-            oneByOne = taken;
+    /** Leaves a write out that the store will never take; where several went merged, they are written one by one. */
+    private void skipRejected(int mergedCount) {
+        if (mergedCount > 1) {
+            unmergedWrites = mergedCount;
         } else {
             Map<String, String> bad = queue.remove(0);
             bad.forEach((key, value) -> Log.warn(
@@ -183,24 +183,24 @@
         }
     }
 
-    /** Puts together what one write takes of what has waited longest; of one record the newest value counts. */
-    private int gather(Map<String, String> together) {
-        int taken = 0;
+    /** Puts merged what one write takes of what has waited longest; of one record the newest value counts. */
+    private int mergeQueued(Map<String, String> merged) {
+        int mergedCount = 0;
         for (Map<String, String> next : queue) {
-            Map<String, String> more = new LinkedHashMap<>(together);
+            Map<String, String> more = new LinkedHashMap<>(merged);
             more.putAll(next);
-            if (taken > 0 && (oneByOne > 0 || more.size() > MOST_AT_ONCE)) {
-                return taken;
+            if (mergedCount > 0 && (unmergedWrites > 0 || more.size() > MAX_RECORDS_PER_WRITE)) {
+                return mergedCount;
             }
-            together.putAll(next);
-            taken++;
+            merged.putAll(next);
+            mergedCount++;
         }
-        oneByOne = Math.max(0, oneByOne - 1);
-        return taken;
+        unmergedWrites = Math.max(0, unmergedWrites - 1);
+        return mergedCount;
     }
 
     /** Removes records that nobody needs any more; {@code onGone} is told on the loop when they are gone. */
-    void forget(List<String> keys, Runnable onGone) {
+    void remove(List<String> keys, Runnable onGone) {
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence);
         for (String key : keys) {
             revisions.remove(key);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -60,39 +60,39 @@
 
     private static final long TICK_MILLIS = 100;
     // One line a second: an owner that is asked for more than it can write shows here first.
-    private static final long TELL_MILLIS = 1_000;
+    private static final long LOAD_LOG_MILLIS = 1_000;
     private static final long LIST_MILLIS = 500;
     // The ownership that a write has shown counts for so long after it was sent; an entry that was frozen meanwhile
     // writes again. A slow store takes 250 ms for its answer.
-    private static final long FRESH_MILLIS = 700;
+    private static final long MAX_CONFIRMATION_AGE_MILLIS = 700;
     // An order reaches the platform at the latest so long after its record was written.
-    private static final long ORDER_MILLIS = FRESH_MILLIS + InstanceOrders.CALL_MILLIS;
+    private static final long ORDER_DEADLINE_MILLIS = MAX_CONFIRMATION_AGE_MILLIS + InstanceOrders.CALL_MILLIS;
     // So often the record of orders is written anew, with how old they are by then and without those too old to matter:
     // a successor leaves few instances alone, and none for longer than it must.
     private static final long PRUNE_EVERY_MILLIS = 500;
     // Between two looks whether what a hand-over waits for is written: a write takes 10 ms.
-    private static final long HAND_OVER_LOOK_MILLIS = 10;
+    private static final long HAND_OVER_CHECK_MILLIS = 10;
     private static final long RETRY_MILLIS = 150;
     /** Stands before the names of instances whose rows can not be read. */
-    private static final String INSTANCES = "instance/";
+    private static final String INSTANCE_PREFIX = "instance/";
 
     // Between the check of the lease and the order's way out.
     private static final long SLACK_MILLIS = 100;
 
-    private final Entry entry;
+    private final Context context;
     private final long fence;
-    private final Map<String, Errand> toOrder = new LinkedHashMap<>();
+    private final Map<String, Errand> pendingOrders = new LinkedHashMap<>();
     private final OrderedInstances ordered;
     private final Set<String> unanswered = new HashSet<>();
-    private final OwnedRecords owned;
+    private final FencedRecordWriter owned;
     private final PrefixWatch records;
     private final PrefixWatch waves;
     private final FleetPlanner planner;
-    private final StartPatience patience;
+    private final StartupWatchdog watchdog;
     private final long wonAt;
-    private boolean earlierKnown;
+    private boolean earlierOrdersRead;
     /** Whether which instances were ordered lately could not be read; then it is not overwritten either. */
-    private boolean earlierUnread;
+    private boolean earlierOrdersUnreadable;
 
     private boolean writingOrders;
     /** Whether the newest write of the record was answered: while the store loses answers it is written for orders only. */
@@ -100,11 +100,11 @@
 
     private @Nullable CompletableFuture<Void> handedOver;
     /** Whether the successor has been told which instances it has to leave alone. */
-    private boolean successorTold;
+    private boolean successorInformed;
 
-    private long tellSuccessorAt = Long.MIN_VALUE;
+    private long nextSuccessorWriteAt = Long.MIN_VALUE;
     /** Whether the entry ends with the hand-over. */
-    private boolean entryEnds;
+    private boolean shuttingDown;
 
     private boolean closed;
 
@@ -122,55 +122,65 @@
      * @param meters the entry's figures
      * @param unreadable entries of the store that can not be read
      */
-    record Entry(
+    record Context(
             String name,
             KeyValueStore store,
             InstanceOrders instances,
             PlatformRecords names,
             EventLoop loop,
-            OwnershipKeeper ownership,
+            OwnershipManager ownership,
             Clock wall,
             FleetTiming timing,
-            JobMeters meters,
+            JobMetrics meters,
             UnreadableEntries unreadable) {
 
         /** Returns how long after a change of owner an instance that was ordered lately is left alone. */
         static long takeOverMillis(long ownerLeaseMillis) {
-            return ORDER_MILLIS + ownerLeaseMillis + SLACK_MILLIS;
+            return ORDER_DEADLINE_MILLIS + ownerLeaseMillis + SLACK_MILLIS;
         }
     }
 
-    FleetHost(Entry entry, long fence) {
-        this.entry = entry;
+    FleetHost(Context context, long fence) {
+        this.context = context;
         this.fence = fence;
-        wonAt = entry.loop.clock().millis();
-        ordered = new OrderedInstances(entry.timing.takeOverMillis(), ORDER_MILLIS);
-        planner = new FleetPlanner(entry.timing, this, entry.loop.clock(), entry.wall);
-        patience = new StartPatience(
-                entry.loop,
-                () -> !closed && !earlierKnown,
-                entry.ownership::reachesStore,
-                () -> entry.ownership.leaveToOthers(JobNode.FLEET, fence, "the fleet's records can not be read"));
-        owned = new OwnedRecords(entry.store, entry.loop, JobNode.FLEET, fence);
-        records = new PrefixWatch(entry.store, entry.loop, JobKeys.fleet(), this);
+        wonAt = context.loop.clock().millis();
+        ordered = new OrderedInstances(context.timing.takeOverMillis(), ORDER_DEADLINE_MILLIS);
+        planner = new FleetPlanner(context.timing, this, context.loop.clock(), context.wall);
+        watchdog = new StartupWatchdog(
+                context.loop,
+                () -> !closed && !earlierOrdersRead,
+                context.ownership::reachesStore,
+                () -> context.ownership.deferToOthers(JobNode.FLEET, fence, "the fleet's records can not be read"));
+        owned = new FencedRecordWriter(context.store, context.loop, JobNode.FLEET, fence);
+        records = new PrefixWatch(context.store, context.loop, JobKeys.fleet(), this);
         waves = new PrefixWatch(
-                entry.store, entry.loop, entry.names.wavePrefix(), PrefixWatch.Listener.same(this::wavesChanged));
+                context.store,
+                context.loop,
+                context.names.wavePrefix(),
+                PrefixWatch.Listener.forAnyChange(this::wavesChanged));
     }
 
     void start(List<ServiceConfig> services) {
         planner.onServices(services);
         records.start();
         waves.start();
-        list();
+        listInstances();
         tick();
-        entry.loop.after(PRUNE_EVERY_MILLIS, this::prune);
-        entry.loop.after(TELL_MILLIS, this::tell);
+        context.loop.after(PRUNE_EVERY_MILLIS, this::prune);
+        context.loop.after(LOAD_LOG_MILLIS, this::logLoad);
     }
 
-    private void tell() {
+    private void logLoad() {
         if (!closed) {
-            Log.info("fleet-load", "fence", fence, "errands", planner.errands(), "writes-waiting", owned.waiting());
-            entry.loop.after(TELL_MILLIS, this::tell);
+            Log.info(
+                    "fleet-load",
+                    "fence",
+                    fence,
+                    "errands",
+                    planner.errands(),
+                    "writes-waiting",
+                    owned.pendingWrites());
+            context.loop.after(LOAD_LOG_MILLIS, this::logLoad);
         }
     }
 
@@ -178,55 +188,55 @@
         planner.onServices(services);
     }
 
-    private void list() {
+    private void listInstances() {
         if (closed) {
             return;
         }
-        entry.instances
+        context.instances
                 .list()
-                .whenComplete((all, why) -> entry.loop.execute(() -> {
+                .whenComplete((all, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.info("instances-unread", "why", StoreFailure.text(why));
                     } else if (!closed) {
-                        tellUnreadable(all);
+                        reportUnreadable(all);
                         planner.onInstances(all);
                         recordsChanged();
                     }
-                    entry.loop.after(LIST_MILLIS, this::list);
+                    context.loop.after(LIST_MILLIS, this::listInstances);
                 }));
     }
 
     /** The rows have no keys and no revisions of the store; their instances' names stand for them. */
-    private void tellUnreadable(InstanceList all) {
+    private void reportUnreadable(InstanceList all) {
         Map<String, Unreadable> byKey = new HashMap<>();
-        all.unreadable().forEach((id, why) -> byKey.put(INSTANCES + id, why));
-        entry.unreadable.onlyThese(INSTANCES, byKey.keySet());
-        byKey.forEach(
-                (key, why) -> entry.unreadable.unreadable(new UnreadableEntries.Entry(Kind.INSTANCE, key, 0, why)));
+        all.unreadable().forEach((id, why) -> byKey.put(INSTANCE_PREFIX + id, why));
+        context.unreadable.retainOnly(INSTANCE_PREFIX, byKey.keySet());
+        byKey.forEach((key, why) ->
+                context.unreadable.markUnreadable(new UnreadableEntries.Entry(Kind.INSTANCE, key, 0, why)));
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        if (earlierKnown && !earlierUnread) {
-            forgetOverLives();
+        if (earlierOrdersRead && !earlierOrdersUnreadable) {
+            dropOrdersOfEndedLives();
         }
         if (!isHandingOver()) {
             planner.tick();
         }
-        entry.loop.after(TICK_MILLIS, this::tick);
+        context.loop.after(TICK_MILLIS, this::tick);
     }
 
     @Override
     public void onPage() {
-        patience.moved();
+        watchdog.onProgress();
     }
 
     @Override
     public void onRead() {
-        if (!earlierKnown) {
-            takeEarlierOrders();
+        if (!earlierOrdersRead) {
+            readEarlierOrders();
         }
         recordsChanged();
     }
@@ -237,38 +247,38 @@
     }
 
     /** The first read came after the ownership was won: no earlier owner can have added to the record since. */
-    private void takeEarlierOrders() {
-        earlierKnown = true;
+    private void readEarlierOrders() {
+        earlierOrdersRead = true;
         records.items().stream()
                 .filter(i -> i.key().equals(JobKeys.recentOrders()))
                 .forEach(i -> {
-                    owned.known(i.key(), i.revision());
-                    RecentOrders r = taken(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
-                    earlierUnread = r == null;
+                    owned.expectRevision(i.key(), i.revision());
+                    RecentOrders r = recordOrNull(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
+                    earlierOrdersUnreadable = r == null;
                     if (r != null) {
                         ordered.takeOver(r, wonAt);
                     }
                 });
-        if (earlierUnread) {
+        if (earlierOrdersUnreadable) {
             // Any instance may have been ordered lately: none is, until no earlier owner's order can be under way.
-            Log.warn("earlier-orders-unknown", "fence", fence, "waits-millis", entry.timing.takeOverMillis());
-            entry.loop.after(entry.timing.takeOverMillis(), this::earlierOrdersPast);
+            Log.warn("earlier-orders-unknown", "fence", fence, "waits-millis", context.timing.takeOverMillis());
+            context.loop.after(context.timing.takeOverMillis(), this::onEarlierOrdersExpired);
             return;
         }
-        Map<String, Long> until = ordered.leftAloneUntil();
+        Map<String, Long> until = ordered.blockedUntil();
         planner.onEarlierOrders(until);
         Log.info("fleet-owner-started", "fence", fence, "ordered-lately", until.size());
     }
 
-    private void earlierOrdersPast() {
-        earlierUnread = false;
+    private void onEarlierOrdersExpired() {
+        earlierOrdersUnreadable = false;
         planner.onEarlierOrders(Map.of());
     }
 
     /** Instances that a life which is over has ordered need not be left alone. */
-    private void forgetOverLives() {
-        int over = ordered.dropOver(entry.ownership::isOver);
-        Map<String, Long> until = ordered.leftAloneUntil();
+    private void dropOrdersOfEndedLives() {
+        int over = ordered.dropEnded(context.ownership::isOver);
+        Map<String, Long> until = ordered.blockedUntil();
         if (over > 0) {
             Log.info("earlier-orders-over", "instances", over, "left", until.size());
         }
@@ -276,12 +286,12 @@
     }
 
     private void recordsChanged() {
-        entry.unreadable.onlyThese(JobKeys.fleet(), records.items());
+        context.unreadable.retainOnly(JobKeys.fleet(), records.items());
         Map<EvacuationRecord, String> evacuations = new HashMap<>();
         for (StoreItem i : records.items()) {
             if (JobKeys.isEvacuation(i.key())) {
-                owned.seen(i.key(), i.revision());
-                EvacuationRecord r = taken(Kind.EVACUATION, i, EvacuationFeed.read(i));
+                owned.observeRevision(i.key(), i.revision());
+                EvacuationRecord r = recordOrNull(Kind.EVACUATION, i, EvacuationFeed.read(i));
                 if (r != null && owned.isCurrent(i.key(), i.revision())) {
                     evacuations.put(r, JobKeys.evacuatedService(i.key()));
                 }
@@ -293,27 +303,27 @@
     }
 
     private void takeReport(String service, StoreItem i) {
-        ServiceReport r = taken(Kind.REPORT, i, i.read(ServiceReport.class));
+        ServiceReport r = recordOrNull(Kind.REPORT, i, i.read(ServiceReport.class));
         if (r != null) {
             planner.onReport(service, r);
         }
     }
 
     private void takeUpkeep(long wave, StoreItem i) {
-        UpkeepRecord r = taken(Kind.UPKEEP, i, i.read(UpkeepRecord.class));
+        UpkeepRecord r = recordOrNull(Kind.UPKEEP, i, i.read(UpkeepRecord.class));
         if (r != null) {
             planner.onUpkeep(wave, r);
         }
     }
 
-    private <T> @Nullable T taken(Kind kind, StoreItem i, Either<Unreadable, T> record) {
-        return entry.unreadable.taken(kind, i, record);
+    private <T> @Nullable T recordOrNull(Kind kind, StoreItem i, Either<Unreadable, T> record) {
+        return context.unreadable.recordOrNull(kind, i, record);
     }
 
     private void wavesChanged() {
-        entry.unreadable.onlyThese(entry.names.wavePrefix(), waves.items());
+        context.unreadable.retainOnly(context.names.wavePrefix(), waves.items());
         planner.onWaves(waves.items().stream()
-                .map(i -> taken(Kind.WAVE, i, entry.names.wave(i)))
+                .map(i -> recordOrNull(Kind.WAVE, i, context.names.wave(i)))
                 .filter(Objects::nonNull)
                 .toList());
     }
@@ -335,7 +345,7 @@
 
     @Override
     public void tellWaveRunning(long wave) {
-        write(Map.of(entry.names.waveStatusKey(wave), entry.names.waveStatus(wave, false)));
+        write(Map.of(context.names.waveStatusKey(wave), context.names.waveStatus(wave, false)));
     }
 
     @Override
@@ -343,21 +353,22 @@
         write(Map.of(
                 JobKeys.upkeep(wave),
                 RecordCodec.write(record),
-                entry.names.waveStatusKey(wave),
-                entry.names.waveStatus(wave, true)));
+                context.names.waveStatusKey(wave),
+                context.names.waveStatus(wave, true)));
     }
 
     private void write(Map<String, String> values) {
         if (!closed) {
-            owned.writeInOrder(values, () -> entry.ownership.giveUp(JobNode.FLEET, fence, "the store refused a write"));
+            owned.writeInOrder(
+                    values, () -> context.ownership.giveUp(JobNode.FLEET, fence, "the store refused a write"));
         }
     }
 
     /** Orders that are asked for in one pass go out together. */
     @Override
     public void order(String instance, Errand errand) {
-        toOrder.put(instance, errand);
-        entry.loop.execute(this::sendOrders);
+        pendingOrders.put(instance, errand);
+        context.loop.execute(this::sendOrders);
     }
 
     /**
@@ -365,15 +376,15 @@
      * orders: a lease can be renewed after its keys are gone, and a successor has to know.
      */
     private void sendOrders() {
-        if (closed || isHandingOver() || writingOrders || toOrder.isEmpty()) {
+        if (closed || isHandingOver() || writingOrders || pendingOrders.isEmpty()) {
             return;
         }
-        Map<String, Errand> orders = new LinkedHashMap<>(toOrder);
-        toOrder.clear();
-        long writtenAt = entry.loop.clock().millis();
-        ordered.ordering(orders.keySet(), entry.ownership.life(), writtenAt);
-        writeRecent(outcome -> {
-            if (outcome == OwnedRecords.Outcome.SAVED) {
+        Map<String, Errand> orders = new LinkedHashMap<>(pendingOrders);
+        pendingOrders.clear();
+        long writtenAt = context.loop.clock().millis();
+        ordered.onOrdering(orders.keySet(), context.ownership.life(), writtenAt);
+        writeRecentOrders(outcome -> {
+            if (outcome == FencedRecordWriter.Outcome.SAVED) {
                 orders.forEach((i, errand) -> orderAsOwner(i, errand, writtenAt));
             } else {
                 Log.info("fleet-orders-held-back", "count", orders.size(), "outcome", outcome);
@@ -382,17 +393,17 @@
         });
     }
 
-    private void writeRecent(Consumer<OwnedRecords.Outcome> onEnd) {
+    private void writeRecentOrders(Consumer<FencedRecordWriter.Outcome> onEnd) {
         writingOrders = true;
-        String record = RecordCodec.write(ordered.record(entry.loop.clock().millis()));
+        String record = RecordCodec.write(ordered.record(context.loop.clock().millis()));
         owned.write(Map.of(JobKeys.recentOrders(), record), outcome -> {
             writingOrders = false;
-            recordSaved = outcome == OwnedRecords.Outcome.SAVED;
+            recordSaved = outcome == FencedRecordWriter.Outcome.SAVED;
             onEnd.accept(outcome);
-            if (outcome == OwnedRecords.Outcome.NOT_OWNER) {
-                entry.ownership.giveUp(JobNode.FLEET, fence, "its key is not this owner's any more");
+            if (outcome == FencedRecordWriter.Outcome.NOT_OWNER) {
+                context.ownership.giveUp(JobNode.FLEET, fence, "its key is not this owner's any more");
             }
-            entry.loop.execute(this::sendOrders);
+            context.loop.execute(this::sendOrders);
         });
     }
 
@@ -400,12 +411,12 @@
         if (closed || isHandingOver()) {
             return;
         }
-        long now = entry.loop.clock().millis();
+        long now = context.loop.clock().millis();
         boolean ages = recordSaved && ordered.hasWaiting(now);
-        if ((ages || ordered.hasOld(now)) && !writingOrders) {
-            writeRecent(outcome -> Log.debug("fleet-record-pruned", "outcome", outcome));
+        if ((ages || ordered.hasExpired(now)) && !writingOrders) {
+            writeRecentOrders(outcome -> Log.debug("fleet-record-pruned", "outcome", outcome));
         }
-        entry.loop.after(PRUNE_EVERY_MILLIS, this::prune);
+        context.loop.after(PRUNE_EVERY_MILLIS, this::prune);
     }
 
     /**
@@ -415,10 +426,10 @@
      * with it all records that were to be written before. Its caller waits only for so long; the successor then goes by the
      * records as they are.
      */
-    CompletableFuture<Void> handOver(HandOver why) {
+    CompletableFuture<Void> handOver(HandOverReason why) {
         if (handedOver == null) {
             handedOver = new CompletableFuture<>();
-            entryEnds = why.endsTheEntry();
+            shuttingDown = why.isShutdown();
             finishHandOver(handedOver);
         }
         return handedOver;
@@ -429,59 +440,59 @@
     }
 
     private void finishHandOver(CompletableFuture<Void> done) {
-        boolean nothingToTell = closed || !earlierKnown || earlierUnread;
-        if (nothingToTell || (successorTold && owned.waiting() == 0)) {
+        boolean nothingToWrite = closed || !earlierOrdersRead || earlierOrdersUnreadable;
+        if (nothingToWrite || (successorInformed && owned.pendingWrites() == 0)) {
             done.complete(null);
             return;
         }
-        if (!successorTold && !writingOrders && entry.loop.clock().millis() >= tellSuccessorAt) {
-            tellSuccessor();
+        if (!successorInformed && !writingOrders && context.loop.clock().millis() >= nextSuccessorWriteAt) {
+            writeOrdersForSuccessor();
         }
-        entry.loop.after(HAND_OVER_LOOK_MILLIS, () -> finishHandOver(done));
+        context.loop.after(HAND_OVER_CHECK_MILLIS, () -> finishHandOver(done));
     }
 
-    private void tellSuccessor() {
-        if (entryEnds) {
+    private void writeOrdersForSuccessor() {
+        if (shuttingDown) {
             Set<String> down = planner.inUpkeep();
             // What others have ordered is as recent as before: they may live, and be in touch.
-            String own = entry.ownership.life();
+            String own = context.ownership.life();
             ordered.keepOnly((i, life) -> !life.equals(own) || unanswered.contains(i) || down.contains(i));
         }
-        writeRecent(outcome -> {
-            successorTold = outcome == OwnedRecords.Outcome.SAVED;
-            tellSuccessorAt = entry.loop.clock().millis() + RETRY_MILLIS;
+        writeRecentOrders(outcome -> {
+            successorInformed = outcome == FencedRecordWriter.Outcome.SAVED;
+            nextSuccessorWriteAt = context.loop.clock().millis() + RETRY_MILLIS;
             Log.info("fleet-handed-over", "outcome", outcome, "unanswered", unanswered.size());
         });
     }
 
     private void orderAsOwner(String instance, Errand errand, long writtenAt) {
-        long now = entry.loop.clock().millis();
-        boolean lasts = entry.ownership.leaseEndsAt() - now > InstanceOrders.CALL_MILLIS + SLACK_MILLIS;
-        if (closed || isHandingOver() || !lasts || now - writtenAt > FRESH_MILLIS) {
+        long now = context.loop.clock().millis();
+        boolean lasts = context.ownership.leaseEndsAt() - now > InstanceOrders.CALL_MILLIS + SLACK_MILLIS;
+        if (closed || isHandingOver() || !lasts || now - writtenAt > MAX_CONFIRMATION_AGE_MILLIS) {
             refused(instance, errand);
             return;
         }
         unanswered.add(instance);
-        entry.instances
-                .order(instance, errand, entry.name, fence)
-                .thenAcceptAsync(o -> ordered(instance, errand, o), entry.loop::execute);
+        context.instances
+                .order(instance, errand, context.name, fence)
+                .thenAcceptAsync(o -> ordered(instance, errand, o), context.loop::execute);
     }
 
     private void refused(String instance, Errand errand) {
-        entry.loop.execute(() -> planner.onOrdered(instance, errand, InstanceOrderOutcome.REFUSED));
+        context.loop.execute(() -> planner.onOrdered(instance, errand, InstanceOrderOutcome.REFUSED));
     }
 
     private void ordered(String instance, Errand errand, InstanceOrderOutcome o) {
-        entry.meters.instanceOrdered(o);
+        context.meters.instanceOrdered(o);
         if (o != InstanceOrderOutcome.UNKNOWN) {
             unanswered.remove(instance);
-            ordered.answered(instance, entry.loop.clock().millis());
+            ordered.onAnswered(instance, context.loop.clock().millis());
         }
         if (closed) {
             return;
         }
         if (o == InstanceOrderOutcome.FENCED) {
-            entry.ownership.giveUp(JobNode.FLEET, fence, "an order was refused by a fence");
+            context.ownership.giveUp(JobNode.FLEET, fence, "an order was refused by a fence");
         }
         planner.onOrdered(instance, errand, o);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOvers.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverCoordinator.java
@@ -23,48 +23,48 @@
 
 /**
  * The first half of each hand-over: the owner of a duty makes durable what it alone knows, while its key still allows that.
- * The second half, that the key goes, is the {@link OwnershipKeeper}'s.
+ * The second half, that the key goes, is the {@link OwnershipManager}'s.
  */
-final class HandOvers {
+final class HandOverCoordinator {
 
     // A write without an answer is given up after 1 s, written again 150 ms later and answered within 250 ms by a slow
     // store. An entry that stops serves on for 3 s, so this takes nothing of a planned stop's time; meanwhile nobody
     // starts the service's jobs.
     /** How long a hand-over waits for its owner, in milliseconds. */
-    static final long MOST_MILLIS = 1_500;
+    static final long TIMEOUT_MILLIS = 1_500;
 
     private final EventLoop loop;
-    private final OwnershipKeeper.Listener owners;
+    private final OwnershipManager.Listener listener;
     /** Fences of duties whose hand-over is under way. */
-    private final Set<Long> underWay = new HashSet<>();
+    private final Set<Long> inProgress = new HashSet<>();
 
-    HandOvers(EventLoop loop, OwnershipKeeper.Listener owners) {
+    HandOverCoordinator(EventLoop loop, OwnershipManager.Listener listener) {
         this.loop = loop;
-        this.owners = owners;
+        this.listener = listener;
     }
 
-    boolean isUnderWay(long fence) {
-        return underWay.contains(fence);
+    boolean isInProgress(long fence) {
+        return inProgress.contains(fence);
     }
 
-    /** Asks the owner of a duty to get ready; the future ends when it is, and after {@link #MOST_MILLIS} in any case. */
-    CompletableFuture<Void> begin(String duty, long fence, HandOver why) {
-        long begun = loop.clock().millis();
-        underWay.add(fence);
+    /** Asks the owner of a duty to get ready; the future ends when it is, and after {@link #TIMEOUT_MILLIS} in any case. */
+    CompletableFuture<Void> begin(String duty, long fence, HandOverReason why) {
+        long startedAt = loop.clock().millis();
+        inProgress.add(fence);
         CompletableFuture<Void> ready = new CompletableFuture<>();
-        owners.handOver(duty, why).thenRunAsync(() -> ready.complete(null), loop::execute);
-        EventLoop.Timer bound = loop.after(MOST_MILLIS, () -> giveUp(ready, duty, fence));
+        listener.handOver(duty, why).thenRunAsync(() -> ready.complete(null), loop::execute);
+        EventLoop.Timer timeout = loop.after(TIMEOUT_MILLIS, () -> onTimeout(ready, duty, fence));
         return ready.thenRun(() -> {
-            bound.cancel();
-            underWay.remove(fence);
-            long millis = loop.clock().millis() - begun;
+            timeout.cancel();
+            inProgress.remove(fence);
+            long millis = loop.clock().millis() - startedAt;
             Log.info("hand-over", "duty", duty, "fence", fence, "millis", millis);
         });
     }
 
-    private static void giveUp(CompletableFuture<Void> ready, String duty, long fence) {
+    private static void onTimeout(CompletableFuture<Void> ready, String duty, long fence) {
         if (!ready.isDone()) {
-            Log.warn("hand-over-unfinished", "duty", duty, "fence", fence, "millis", MOST_MILLIS);
+            Log.warn("hand-over-unfinished", "duty", duty, "fence", fence, "millis", TIMEOUT_MILLIS);
             ready.complete(null);
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverReason.java
@@ -16,20 +16,20 @@
 package org.lupinpaddle.daemon.jobs;
 
 /** Why an owner hands a duty over; it decides what the next owner has to reckon with. */
-enum HandOver {
+enum HandOverReason {
     /** Another entry had better do it. This one lives on, and what it has ordered may still be under way. */
     TO_ANOTHER_ENTRY(false),
-    /** The entry ends as planned: nothing of it is heard any more once its answers are in. */
-    OF_AN_ENTRY_THAT_ENDS(true);
+    /** The entry shutdown as planned: nothing of it is heard any more once its answers are in. */
+    ENTRY_SHUTDOWN(true);
 
-    private final boolean ends;
+    private final boolean shutdown;
 
-    HandOver(boolean ends) {
-        this.ends = ends;
+    HandOverReason(boolean shutdown) {
+        this.shutdown = shutdown;
     }
 
-    /** Returns whether the entry's process ends. */
-    boolean endsTheEntry() {
-        return ends;
+    /** Returns whether the entry's process shutdown. */
+    boolean isShutdown() {
+        return shutdown;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobQuestions.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
@@ -43,21 +43,21 @@
 import org.lupinpaddle.daemon.port.StoreRange;
 
 /** Answers operators' questions about jobs from the store, so that any entry gives the same answer. */
-public final class JobQuestions implements CommandExecutor {
+public final class JobCommandExecutor implements CommandExecutor {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     private final KeyValueStore store;
     private final PlatformRecords records;
     private final JobIntake intake;
-    private final UnreadableQuestion unreadable;
+    private final UnreadableEntriesQuery unreadable;
 
     /** Makes it. */
-    public JobQuestions(KeyValueStore store, PlatformRecords records, JobIntake intake) {
+    public JobCommandExecutor(KeyValueStore store, PlatformRecords records, JobIntake intake) {
         this.store = store;
         this.records = records;
         this.intake = intake;
-        unreadable = new UnreadableQuestion(store, records);
+        unreadable = new UnreadableEntriesQuery(store, records);
     }
 
     @Override
@@ -75,11 +75,11 @@
 
     private CompletableFuture<List<String>> answer(OperatorCommand command) {
         if (command instanceof OperatorCommand.JobList) {
-            return allJobs().thenCombine(unreadable.ofJobs(), JobQuestions::listed);
+            return allJobs().thenCombine(unreadable.ofJobs(), JobCommandExecutor::formatJobs);
         } else if (command instanceof OperatorCommand.JobExplain q) {
             return explain(q.id());
         } else if (command instanceof OperatorCommand.JobOwners) {
-            return store.range(JobKeys.MEMBERS).thenApply(JobQuestions::owners);
+            return store.range(JobKeys.MEMBERS).thenApply(JobCommandExecutor::owners);
         } else if (command instanceof OperatorCommand.JobWorkers) {
             return store.range(records.workerPrefix()).thenApply(this::workers);
         } else if (command instanceof OperatorCommand.JobUpkeep) {
@@ -93,23 +93,23 @@
     }
 
     /** A job as the store has it; without what it is made of once it is over. */
-    private record Known(
+    private record StoredJob(
             JobKey key, String service, @Nullable JobSpec spec, JobProgress progress, boolean cancelled) {}
 
     /** Progress is read last: a job that is over by its record has some, or is gone by then. */
-    private CompletableFuture<List<Known>> allJobs() {
+    private CompletableFuture<List<StoredJob>> allJobs() {
         return store.range(JobKeys.allInputs())
                 .thenCompose(inputs -> store.range(JobKeys.allProgress()).thenApply(progress -> {
                     Map<String, StoreItem> byKey = new TreeMap<>();
                     inputs.items().forEach(i -> byKey.put(i.key(), i));
                     progress.items().forEach(i -> byKey.put(i.key(), i));
-                    List<Known> all = new ArrayList<>();
+                    List<StoredJob> all = new ArrayList<>();
                     inputs.items().forEach(i -> known(i, byKey).ifPresent(all::add));
                     return all;
                 }));
     }
 
-    private static Optional<Known> known(StoreItem i, Map<String, StoreItem> byKey) {
+    private static Optional<StoredJob> known(StoreItem i, Map<String, StoreItem> byKey) {
         String service = JobKeys.serviceOfInput(i.key());
         JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
         if (key == null) {
@@ -123,12 +123,13 @@
         if (progress == null || !readable) {
             return Optional.empty();
         }
-        return Optional.of(new Known(key, service, spec, progress, byKey.containsKey(JobKeys.cancel(service, key))));
+        return Optional.of(
+                new StoredJob(key, service, spec, progress, byKey.containsKey(JobKeys.cancel(service, key))));
     }
 
-    private static List<String> listed(List<Known> all, List<String> unreadable) {
+    private static List<String> formatJobs(List<StoredJob> all, List<String> unreadable) {
         List<String> lines = new ArrayList<>(unreadable);
-        for (Known k : all) {
+        for (StoredJob k : all) {
             lines.add(k.key.id() + "  " + k.progress.state() + "  queue " + k.key.queue() + "  service " + k.service
                     + (k.cancelled ? "  cancelled by its caller" : ""));
         }
@@ -140,15 +141,15 @@
             List<String> lines = new ArrayList<>();
             all.stream()
                     .filter(k -> k.key.id().equals(id))
-                    .forEach(k -> lines.addAll(explained(k, ownerOf(k.service, members))));
+                    .forEach(k -> lines.addAll(explainJob(k, ownerOf(k.service, members))));
             return lines.isEmpty() ? List.of("no such job: never accepted, or over for more than two minutes") : lines;
         });
     }
 
-    private List<String> explained(Known k, String owner) {
+    private List<String> explainJob(StoredJob k, String owner) {
         long now = intake.wallMillis();
         return k.spec == null
-                ? JobExplanation.ofOver(k.key, k.service, k.progress, k.cancelled, now)
+                ? JobExplanation.ofFinished(k.key, k.service, k.progress, k.cancelled, now)
                 : JobExplanation.of(k.spec, k.progress, k.cancelled, owner, now);
     }
 
@@ -170,9 +171,9 @@
         return lines.isEmpty() ? List.of("no entry is registered") : lines;
     }
 
-    private List<String> workers(StoreRange listed) {
+    private List<String> workers(StoreRange formatJobs) {
         List<String> lines = new ArrayList<>();
-        for (StoreItem i : listed.items()) {
+        for (StoreItem i : formatJobs.items()) {
             Either<Unreadable, WorkerFacts> w = records.worker(i);
             lines.add(w.fold(
                     why -> i.key() + "  unreadable: " + why,
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
@@ -51,7 +51,8 @@
     }
 
     /** Returns the lines of a job that is over, of which only the progress is kept. */
-    static List<String> ofOver(JobKey job, String service, JobProgress progress, boolean cancelled, long wallMillis) {
+    static List<String> ofFinished(
+            JobKey job, String service, JobProgress progress, boolean cancelled, long wallMillis) {
         return List.of(
                 state(job, service, progress),
                 "over for " + (wallMillis - progress.changedMillis()) + " ms" + byCaller(cancelled)
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
@@ -57,15 +57,15 @@
  */
 public final class JobIntake {
 
-    // An accept is tried this often while the store's answers are lost; then the caller is told so.
-    private static final int MOST_TRIES = 4;
-    // Nor is it tried again after this: callers wait 3 s, and whoever is told sooner comes back sooner.
-    private static final long MOST_MILLIS = 1_200;
+    // An accept is tried this often while the store's answers are lost; then the caller is pendingIn so.
+    private static final int MAX_ATTEMPTS = 4;
+    // Nor is it tried again after this: callers wait 3 s, and whoever is pendingIn sooner comes back sooner.
+    private static final long ACCEPT_TIMEOUT_MILLIS = 1_200;
     // The greatest age of the configuration at which a request is refused without reading the store.
     private static final long FRESH_MILLIS = 200;
     // The greatest age of the configuration at which a key is accepted without reading the store; a healthy watch is
-    // A count may be 2 s old when it is told; a read of a large queue takes some of them.
-    private static final long COUNT_MILLIS = 800;
+    // A count may be 2 s old when it is pendingIn; a read of a large queue takes some of them.
+    private static final long COUNT_CACHE_MILLIS = 800;
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -73,10 +73,10 @@
     private final ConfigurationFeed configuration;
     private final Clock wall;
     private final BooleanSupplier storeReached;
-    /** Counts by queue, as long as they may be told. */
-    private final Map<String, Counting> counting = new HashMap<>();
+    /** Counts by queue, as long as they may be pendingIn. */
+    private final Map<String, CachedCount> cachedCounts = new HashMap<>();
 
-    private record Counting(long startedAt, CompletableFuture<OptionalInt> count) {}
+    private record CachedCount(long startedAt, CompletableFuture<OptionalInt> count) {}
 
     JobIntake(
             KeyValueStore store,
@@ -135,14 +135,14 @@
                         .admit(r));
     }
 
-    /** Takes a job. The answer is true at the moment the store decided. */
+    /** Takes a job. The answer is true at the moment the store onCommitted. */
     public CompletableFuture<SubmitOutcome> submit(CallerRequest request, String id, Submission s) {
         if (!storeReached.getAsBoolean()) {
             // Nothing was written, and another entry may reach the store: the caller had better not wait here.
             Log.info("accept-refused", "job", id, "why", "the store does not answer this entry");
             return CompletableFuture.completedFuture(SubmitOutcome.NOT_TAKEN);
         }
-        Handing h = new Handing(request, id, s, loop.clock().millis() + MOST_MILLIS);
+        PendingSubmission h = new PendingSubmission(request, id, s, loop.clock().millis() + ACCEPT_TIMEOUT_MILLIS);
         return admit(request).thenCompose(a -> accept(h, a, 1, false)).exceptionally(why -> {
             Log.info("accept-refused", "job", id, "why", StoreFailure.text(why));
             return SubmitOutcome.NOT_TAKEN;
@@ -150,9 +150,10 @@
     }
 
     /** A job as a caller hands it in, and where. */
-    private record Handing(CallerRequest request, String id, Submission job, long until) {}
+    private record PendingSubmission(CallerRequest request, String id, Submission job, long until) {}
 
-    private CompletableFuture<SubmitOutcome> accept(Handing h, Admission a, int attempt, boolean mayBeWritten) {
+    private CompletableFuture<SubmitOutcome> accept(
+            PendingSubmission h, Admission a, int attempt, boolean mayBeWritten) {
         QueueConfig q = a.queue();
         if (q == null) {
             SubmitOutcome refused =
@@ -178,7 +179,7 @@
                             boolean keyMustBeRechecked =
                                     a.usesKey() && r.revisionOf(records.configurationKey()) != admittedRevision;
                             return existing == null || keyMustBeRechecked
-                                    ? decided(h, r, attempt, mayBeWritten)
+                                    ? onCommitted(h, r, attempt, mayBeWritten)
                                     : jobAccess(a, q.service(), key, existing)
                                             .thenApply(access -> access.submitOutcome);
                         },
@@ -189,13 +190,14 @@
         return r.current().stream().filter(i -> i.key().equals(key)).findFirst().orElse(null);
     }
 
-    private CompletableFuture<SubmitOutcome> decided(Handing h, CommitResult r, int attempt, boolean mayBeWritten) {
+    private CompletableFuture<SubmitOutcome> onCommitted(
+            PendingSubmission h, CommitResult r, int attempt, boolean mayBeWritten) {
         boolean unknown = mayBeWritten || r.outcome() == CommitResult.Outcome.UNKNOWN;
         if (r.outcome() == CommitResult.Outcome.MADE) {
             return CompletableFuture.completedFuture(SubmitOutcome.ACCEPTED);
         }
         boolean tooLong = loop.clock().millis() >= h.until;
-        if (tooLong || attempt >= MOST_TRIES || (r.outcome() == CommitResult.Outcome.REFUSED && !unknown)) {
+        if (tooLong || attempt >= MAX_ATTEMPTS || (r.outcome() == CommitResult.Outcome.REFUSED && !unknown)) {
             Log.info("accept-undecided", "job", h.id, "outcome", r.outcome(), "attempt", attempt);
             return CompletableFuture.completedFuture(unknown ? SubmitOutcome.UNKNOWN : SubmitOutcome.NOT_TAKEN);
         }
@@ -361,7 +363,7 @@
                             if (r.outcome() == CommitResult.Outcome.MADE) {
                                 return CompletableFuture.completedFuture(JobAnswer.of(JobState.CANCELLED));
                             }
-                            return attempt < MOST_TRIES
+                            return attempt < MAX_ATTEMPTS
                                     ? writeCancel(service, key, attempt + 1)
                                     : CompletableFuture.completedFuture(JobAnswer.UNKNOWN);
                         },
@@ -372,7 +374,8 @@
     public CompletableFuture<OptionalInt> pending(QueueConfig q) {
         return store.read(JobKeys.owner(q.service()))
                 .thenComposeAsync(
-                        owner -> owner.map(o -> countedByOwner(q, o)).orElseGet(() -> countedHere(q)), loop::execute)
+                        owner -> owner.map(o -> pendingFromReport(q, o)).orElseGet(() -> pendingFromStore(q)),
+                        loop::execute)
                 .exceptionally(why -> {
                     Log.info("pending-unknown", "queue", q.name(), "why", StoreFailure.text(why));
                     return OptionalInt.empty();
@@ -380,30 +383,30 @@
     }
 
     /** A report that is older than the ownership is an earlier owner's; the new one is still reading what it left. */
-    private CompletableFuture<OptionalInt> countedByOwner(QueueConfig q, StoreItem owner) {
+    private CompletableFuture<OptionalInt> pendingFromReport(QueueConfig q, StoreItem owner) {
         return store.read(JobKeys.report(q.service()))
                 .thenComposeAsync(
                         item -> item.filter(i -> i.revision() > owner.revision())
                                 .flatMap(i -> i.read(ServiceReport.class).toJavaOptional())
-                                .map(r -> CompletableFuture.completedFuture(told(q, r)))
-                                .orElseGet(() -> countedHere(q)),
+                                .map(r -> CompletableFuture.completedFuture(pendingIn(q, r)))
+                                .orElseGet(() -> pendingFromStore(q)),
                         loop::execute);
     }
 
-    private static OptionalInt told(QueueConfig q, ServiceReport report) {
+    private static OptionalInt pendingIn(QueueConfig q, ServiceReport report) {
         return OptionalInt.of(report.pendingByQueue().getOrDefault(q.name(), 0));
     }
 
     /** Many callers ask for one count; they share a read while it is under way, and for a while after it. */
-    private CompletableFuture<OptionalInt> countedHere(QueueConfig q) {
-        Counting known = counting.get(q.name());
-        boolean fresh =
-                known != null && (!known.count.isDone() || loop.clock().millis() - known.startedAt <= COUNT_MILLIS);
+    private CompletableFuture<OptionalInt> pendingFromStore(QueueConfig q) {
+        CachedCount known = cachedCounts.get(q.name());
+        boolean fresh = known != null
+                && (!known.count.isDone() || loop.clock().millis() - known.startedAt <= COUNT_CACHE_MILLIS);
         if (known != null && fresh) {
             return known.count;
         }
-        Counting next = new Counting(loop.clock().millis(), readCount(q));
-        counting.put(q.name(), next);
+        CachedCount next = new CachedCount(loop.clock().millis(), readCount(q));
+        cachedCounts.put(q.name(), next);
         return next.count;
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMeters.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMetrics.java
@@ -25,10 +25,10 @@
 import org.lupinpaddle.daemon.port.CommitResult;
 
 /**
- * All figures of an entry that runs jobs, in one place. Names are dotted; what follows the last dot of a counter
+ * All figures of an entry that runs jobs, in one place. Names are dotted; label follows the last dot of a counter
  * tells its cases apart.
  */
-public final class JobMeters {
+public final class JobMetrics {
 
     private final MetricRegistry registry = new MetricRegistry();
 
@@ -37,7 +37,7 @@
         return registry;
     }
 
-    /** Counts what became of a submission. */
+    /** Counts label became of a submission. */
     public void submitted(SubmitOutcome outcome) {
         count("accepts", outcome);
     }
@@ -82,24 +82,24 @@
         return e.job() == null ? "" : e.job().queue();
     }
 
-    /** Counts what became of a hold. */
+    /** Counts label became of a hold. */
     void held(OrderOutcome outcome) {
         count("holds", outcome);
     }
 
     /** Counts a won or lost duty. */
-    void dutyChanged(String what) {
-        count("duties", what);
+    void dutyChanged(String label) {
+        count("duties", label);
     }
 
-    /** Counts what became of an order on an instance. */
+    /** Counts label became of an order on an instance. */
     void instanceOrdered(Object outcome) {
         count("instance.orders", outcome);
     }
 
     /** Counts an entry of the store that can not be read, once for each reason why. */
     void unreadable(UnreadableEntries.Kind kind) {
-        count("entries.unreadable", kind.word());
+        count("entries.unreadable", kind.label());
     }
 
     /** Counts a call to the store by its kind and answer, and how long the answer took. */
@@ -113,11 +113,11 @@
         registry.gauge(name, () -> (Gauge<Number>) value::get);
     }
 
-    private void count(String name, Object what) {
-        registry.counter(name + "." + what.toString().toLowerCase(Locale.ROOT)).inc();
+    private void count(String name, Object label) {
+        registry.counter(name + "." + label.toString().toLowerCase(Locale.ROOT)).inc();
     }
 
-    private void time(String name, String what, long millis) {
-        registry.timer(name + "." + what).update(Math.max(0, millis), TimeUnit.MILLISECONDS);
+    private void time(String name, String label, long millis) {
+        registry.timer(name + "." + label).update(Math.max(0, millis), TimeUnit.MILLISECONDS);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
@@ -40,11 +40,11 @@
  * One entry on a platform: takes jobs from callers, and owns the services that fall to it. It keeps nothing
  * that the store does not hold.
  */
-public final class JobNode implements OwnershipKeeper.Listener, AutoCloseable {
+public final class JobNode implements OwnershipManager.Listener, AutoCloseable {
 
     // An owner that hears nothing of the store goes on keeping its workers' tasks alive for this long: the
     // store's outages last 3 to 9 s. A new owner waits as long for workers that it can not reach.
-    private static final long BLIND_MILLIS = 12_000;
+    private static final long MAX_STORE_SILENCE_MILLIS = 12_000;
     private static final long CHECK_MILLIS = 250;
     // Readiness follows the store: an entry that can not reach it can accept nothing, and callers had better go to
     // another hall. A lease is renewed every 450 ms; one renewal without answer takes 1.2 s until the next is answered.
@@ -55,19 +55,19 @@
 
     private final EventLoop loop;
     private final ConfigurationFeed configuration;
-    private final Supplier<WorkerFeed> feeds;
+    private final Supplier<WorkerFeed> workerFeedFactory;
     private @Nullable WorkerFeed workers;
-    private final OwnershipKeeper ownership;
-    private final JobMeters meters;
+    private final OwnershipManager ownership;
+    private final JobMetrics meters;
     private final UnreadableEntries unreadable;
     private final JobIntake intake;
-    private final JobQuestions questions;
-    private final SchedulerHost.Entry shared;
-    private final FleetHost.Entry fleetShared;
+    private final JobCommandExecutor questions;
+    private final SchedulerHost.Context schedulerContext;
+    private final FleetHost.Context fleetContext;
     private final Map<String, SchedulerHost> hosts = new HashMap<>();
     private @Nullable FleetHost fleet;
     private volatile boolean ready;
-    private volatile long unbegun;
+    private volatile long unstartedDuties;
     private boolean stopping;
 
     /**
@@ -94,7 +94,7 @@
             InstanceOrders instances,
             JobSettings.Bounds limits,
             Clock wall,
-            JobMeters meters) {}
+            JobMetrics meters) {}
 
     /** Makes a node; it does nothing until {@link #start}. */
     public JobNode(EventLoop loop, Parts p) {
@@ -102,14 +102,14 @@
         meters = p.meters();
         unreadable = new UnreadableEntries(meters);
         configuration = new ConfigurationFeed(p.store(), loop, p.records(), unreadable, this::configurationChanged);
-        feeds = () -> new WorkerFeed(p.store(), loop, p.records(), unreadable, this::workersChanged);
-        ownership = new OwnershipKeeper(p.store(), loop, p.name(), p.capacity(), this);
+        workerFeedFactory = () -> new WorkerFeed(p.store(), loop, p.records(), unreadable, this::workersChanged);
+        ownership = new OwnershipManager(p.store(), loop, p.name(), p.capacity(), this);
         addGauges();
         intake = new JobIntake(p.store(), loop, p.records(), configuration, p.wall(), this::reachesStore);
-        questions = new JobQuestions(p.store(), p.records(), intake);
-        SchedulerTiming timing =
-                SchedulerTiming.usual(p.limits().longestHoldMillis(), p.limits().stopMillis(), BLIND_MILLIS);
-        shared = new SchedulerHost.Entry(
+        questions = new JobCommandExecutor(p.store(), p.records(), intake);
+        SchedulerTiming timing = SchedulerTiming.usual(
+                p.limits().longestHoldMillis(), p.limits().stopMillis(), MAX_STORE_SILENCE_MILLIS);
+        schedulerContext = new SchedulerHost.Context(
                 p.store(),
                 p.orders(),
                 p.advice(),
@@ -121,7 +121,7 @@
                 p.meters(),
                 unreadable,
                 configuration::workspaces);
-        fleetShared = new FleetHost.Entry(
+        fleetContext = new FleetHost.Context(
                 p.name(),
                 p.store(),
                 p.instances(),
@@ -131,7 +131,7 @@
                 p.wall(),
                 FleetTiming.usual(
                         p.limits().upkeepMillis(),
-                        FleetHost.Entry.takeOverMillis(p.limits().ownerLeaseMillis())),
+                        FleetHost.Context.takeOverMillis(p.limits().ownerLeaseMillis())),
                 p.meters(),
                 unreadable);
     }
@@ -148,7 +148,7 @@
     private void addGauges() {
         meters.gauge("ready", () -> ready ? 1 : 0);
         meters.gauge("owned.duties", () -> ownership.owned().size());
-        meters.gauge("unbegun.duties", () -> unbegun);
+        meters.gauge("unbegun.duties", () -> unstartedDuties);
         meters.gauge("store.lease.age.millis", () -> loop.clock().millis() - ownership.confirmedAt());
         meters.gauge(
                 "configuration.version",
@@ -164,7 +164,7 @@
     }
 
     /** Returns what operators ask. */
-    public JobQuestions questions() {
+    public JobCommandExecutor questions() {
         return questions;
     }
 
@@ -179,14 +179,14 @@
 
     private void check() {
         long now = loop.clock().millis();
-        unbegun = hosts.values().stream().filter(h -> !h.hasBegun()).count();
+        unstartedDuties = hosts.values().stream().filter(h -> !h.isStarted()).count();
         boolean next = !stopping && reachesStore() && intake.isConfigured();
         if (next != ready) {
             ready = next;
             Log.info("readiness", "ready", next, "store-heard-millis-ago", now - ownership.confirmedAt());
         }
-        if (now - ownership.confirmedAt() > BLIND_MILLIS) {
-            String why = "nothing heard of the store for " + BLIND_MILLIS + " ms";
+        if (now - ownership.confirmedAt() > MAX_STORE_SILENCE_MILLIS) {
+            String why = "nothing heard of the store for " + MAX_STORE_SILENCE_MILLIS + " ms";
             ownership.owned().forEach((duty, fence) -> ownership.giveUp(duty, fence, why));
         }
     }
@@ -214,7 +214,7 @@
     private WorkerFeed followWorkers() {
         WorkerFeed feed = workers;
         if (feed == null) {
-            feed = feeds.get();
+            feed = workerFeedFactory.get();
             workers = feed;
             feed.start();
         }
@@ -226,23 +226,23 @@
         meters.dutyChanged("won");
         Log.info("ownership-won", "duty", duty, "fence", fence);
         if (duty.equals(FLEET)) {
-            fleet = new FleetHost(fleetShared, fence);
+            fleet = new FleetHost(fleetContext, fence);
             fleet.start(configuration.current().map(JobConfiguration::services).orElse(List.of()));
             return;
         }
         SchedulerHost host = new SchedulerHost(
-                shared,
+                schedulerContext,
                 duty,
                 fence,
                 followWorkers(),
                 () -> ownership.giveUp(duty, fence, "fenced"),
-                () -> ownership.leaveToOthers(duty, fence, "its records can not be read"));
+                () -> ownership.deferToOthers(duty, fence, "its records can not be read"));
         hosts.put(duty, host);
         host.start();
     }
 
     @Override
-    public CompletableFuture<Void> handOver(String duty, HandOver why) {
+    public CompletableFuture<Void> handOver(String duty, HandOverReason why) {
         if (duty.equals(FLEET) && fleet != null) {
             return fleet.handOver(why);
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/Members.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
@@ -30,12 +30,12 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /** Which entries there are, what each can do and owns, as the store's records of them are seen from one entry. */
-final class Members {
+final class MemberRegistry {
 
     // An entry that was registered so long ago is not waited for when the store comes back.
-    private static final long REMEMBERED_MILLIS = 30_000;
+    private static final long RETENTION_MILLIS = 30_000;
     // Its registration and its capacity.
-    private static final int KEYS_OF_AN_ENTRY = 2;
+    private static final int KEYS_PER_ENTRY = 2;
     private static final char LIFE_SEPARATOR = '/';
 
     private final PrefixWatch watch;
@@ -45,9 +45,9 @@
     /** Entries that are, or lately were, registered. */
     private final Map<String, Known> known = new HashMap<>();
     /** Since when an entry has been registered without a break. */
-    private final Map<String, Long> since = new HashMap<>();
+    private final Map<String, Long> registeredSince = new HashMap<>();
 
-    /** Capacities that can not be read, with the revision that was told of. */
+    /** Capacities that can not be read, with the revision that was published of. */
     private final Map<String, Long> unreadable = new HashMap<>();
 
     /** What is known of an entry that is or was registered. */
@@ -57,9 +57,9 @@
      * Makes the view of an entry.
      *
      * @param watch follows the records of members
-     * @param capacity what this entry can do, in thousandths of a core, whatever it has told
+     * @param capacity what this entry can do, in thousandths of a core, whatever it has published
      */
-    Members(PrefixWatch watch, Clock clock, String entry, long capacity) {
+    MemberRegistry(PrefixWatch watch, Clock clock, String entry, long capacity) {
         this.watch = watch;
         this.clock = clock;
         this.entry = entry;
@@ -78,11 +78,11 @@
             return !otherLife.equals(ownLife);
         }
         return watch.items().stream()
-                .anyMatch(i -> i.key().equals(JobKeys.entry(name)) && isAnother(i.value(), name, otherLife));
+                .anyMatch(i -> i.key().equals(JobKeys.entry(name)) && isDifferentLife(i.value(), name, otherLife));
     }
 
     /** A registration that names no life of the entry, as another writer may have put it, does not end any. */
-    private static boolean isAnother(String life, String name, String otherLife) {
+    private static boolean isDifferentLife(String life, String name, String otherLife) {
         return life.startsWith(name + LIFE_SEPARATOR) && !life.equals(otherLife);
     }
 
@@ -95,7 +95,7 @@
     }
 
     /** Returns the entries that may try for a duty; right after the store's return also those that are not back yet. */
-    Set<String> ranked(boolean returning) {
+    Set<String> candidates(boolean returning) {
         Set<String> all = entries();
         if (returning) {
             all.addAll(known.keySet());
@@ -122,42 +122,42 @@
     }
 
     /** Returns whether both of this entry's own records are there, under its lease. */
-    boolean holdsAllOf(long lease) {
+    boolean hasOwnRecords(long lease) {
         long mine = watch.items().stream()
                 .filter(i -> i.lease() == lease)
                 .filter(i -> i.key().equals(JobKeys.entry(entry)) || i.key().equals(JobKeys.capacity(entry)))
                 .count();
-        return mine == KEYS_OF_AN_ENTRY;
+        return mine == KEYS_PER_ENTRY;
     }
 
     /** Takes in who is registered now, for the time when the store is away. */
-    void remember() {
+    void rememberRegistered() {
         long now = clock.millis();
-        Map<String, Long> told = told();
-        entries().forEach(e -> known.put(e, new Known(told.getOrDefault(e, OwnerRank.USUAL_CAPACITY), now)));
-        known.values().removeIf(k -> now - k.seenAt() > REMEMBERED_MILLIS);
+        Map<String, Long> published = publishedCapacities();
+        entries().forEach(e -> known.put(e, new Known(published.getOrDefault(e, OwnerRank.USUAL_CAPACITY), now)));
+        known.values().removeIf(k -> now - k.seenAt() > RETENTION_MILLIS);
     }
 
-    /** Takes in who is registered now, for {@link #settled}. */
-    void see() {
+    /** Takes in who is registered now, for {@link #registeredFor}. */
+    void trackRegistrations() {
         Set<String> now = entries();
-        since.keySet().retainAll(now);
-        now.forEach(e -> since.putIfAbsent(e, clock.millis()));
+        registeredSince.keySet().retainAll(now);
+        now.forEach(e -> registeredSince.putIfAbsent(e, clock.millis()));
     }
 
     /** Returns the entries that have been registered for so long. */
-    List<String> settled(long millis) {
+    List<String> registeredFor(long millis) {
         long now = clock.millis();
-        return since.entrySet().stream()
+        return registeredSince.entrySet().stream()
                 .filter(e -> now - e.getValue() >= millis)
                 .map(Map.Entry::getKey)
                 .toList();
     }
 
     /** This is read at every change of any entry; one line tells of a value. */
-    private void tellUnreadable(StoreItem i) {
-        Long told = unreadable.put(i.key(), i.revision());
-        if (!Long.valueOf(i.revision()).equals(told)) {
+    private void logUnreadableCapacity(StoreItem i) {
+        Long published = unreadable.put(i.key(), i.revision());
+        if (!Long.valueOf(i.revision()).equals(published)) {
             Log.warn("capacity-unreadable", "key", i.key(), "revision", i.revision());
         }
     }
@@ -165,13 +165,13 @@
     private Map<String, Long> capacities() {
         Map<String, Long> all = new HashMap<>();
         known.forEach((name, k) -> all.put(name, k.capacity()));
-        all.putAll(told());
+        all.putAll(publishedCapacities());
         // What this entry does well it goes on doing, whatever else it leaves to others.
         all.put(entry, capacity);
         return all;
     }
 
-    private Map<String, Long> told() {
+    private Map<String, Long> publishedCapacities() {
         Map<String, Long> all = new HashMap<>();
         watch.items()
                 .forEach(i -> JobKeys.capacityOf(i.key())
@@ -183,7 +183,7 @@
         try {
             return Optional.of(Long.parseLong(i.value())).filter(c -> c > 0);
         } catch (NumberFormatException e) {
-            tellUnreadable(i);
+            logUnreadableCapacity(i);
             return Optional.empty();
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MeteredStore.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MeteredStore.java
@@ -30,11 +30,11 @@
 public final class MeteredStore implements KeyValueStore {
 
     private final KeyValueStore store;
-    private final JobMeters meters;
+    private final JobMetrics meters;
     private final Clock clock;
 
     /** Makes it over another store. */
-    public MeteredStore(KeyValueStore store, JobMeters meters, Clock clock) {
+    public MeteredStore(KeyValueStore store, JobMetrics meters, Clock clock) {
         this.store = store;
         this.meters = meters;
         this.clock = clock;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
@@ -27,7 +27,7 @@
 final class OrderedInstances {
 
     /**
-     * An instance that this owner or an earlier one has ordered.
+     * An instance that this owner or an inherited one has ordered.
      *
      * @param life the life of the entry that ordered it
      * @param at when that was written down, or taken over
@@ -38,7 +38,7 @@
     private final long takeOverMillis;
     private final long orderMillis;
     private final Map<String, Ordered> all = new HashMap<>();
-    private final Map<String, Ordered> earlier = new HashMap<>();
+    private final Map<String, Ordered> inherited = new HashMap<>();
 
     /**
      * Makes an empty list.
@@ -52,38 +52,38 @@
     }
 
     /**
-     * Takes in an earlier owner's record. It was written before this ownership was won, at {@code wonAt}: what was left to
+     * Takes in an inherited owner's record. It was written before this ownership was won, at {@code wonAt}: what was left to
      * wait then is no longer now. It is told on, should this owner be followed soon.
      */
     void takeOver(RecentOrders r, long wonAt) {
         r.lifeByInstance()
                 .forEach((i, life) ->
-                        earlier.put(i, new Ordered(life, wonAt, wonAt + r.waitMillis(i, takeOverMillis))));
-        all.putAll(earlier);
+                        inherited.put(i, new Ordered(life, wonAt, wonAt + r.waitMillis(i, takeOverMillis))));
+        all.putAll(inherited);
     }
 
-    /** Drops what lives that are over have ordered, and returns how many of the earlier owners' instances that were. */
-    int dropOver(Predicate<String> isOver) {
-        int before = earlier.size();
-        earlier.values().removeIf(o -> isOver.test(o.life));
+    /** Drops what lives that are over have ordered, and returns how many of the inherited owners' instances that were. */
+    int dropEnded(Predicate<String> isOver) {
+        int before = inherited.size();
+        inherited.values().removeIf(o -> isOver.test(o.life));
         all.values().removeIf(o -> isOver.test(o.life));
-        return before - earlier.size();
+        return before - inherited.size();
     }
 
-    /** Returns until when the instances are to be left alone that earlier owners have ordered. */
-    Map<String, Long> leftAloneUntil() {
+    /** Returns until when the instances are to be left alone that inherited owners have ordered. */
+    Map<String, Long> blockedUntil() {
         Map<String, Long> until = new HashMap<>();
-        earlier.forEach((i, o) -> until.put(i, o.freeAt));
+        inherited.forEach((i, o) -> until.put(i, o.freeAt));
         return until;
     }
 
     /** Takes in that this owner is about to order instances. */
-    void ordering(Collection<String> instances, String life, long now) {
+    void onOrdering(Collection<String> instances, String life, long now) {
         instances.forEach(i -> all.put(i, new Ordered(life, now, now + takeOverMillis)));
     }
 
     /** Takes in that no order of before can reach the platform any more: the time between two owners runs from now on. */
-    void answered(String instance, long now) {
+    void onAnswered(String instance, long now) {
         long freeAt = now + takeOverMillis - orderMillis;
         all.computeIfPresent(instance, (i, o) -> new Ordered(o.life, o.at, Math.min(o.freeAt, freeAt)));
     }
@@ -94,8 +94,8 @@
     }
 
     /** Returns whether an instance is on the record for too long. */
-    boolean hasOld(long now) {
-        return all.values().stream().anyMatch(o -> isOld(o, now));
+    boolean hasExpired(long now) {
+        return all.values().stream().anyMatch(o -> isExpired(o, now));
     }
 
     /** Returns whether an instance is still to be left alone, so that a record written now tells of a shorter wait. */
@@ -105,7 +105,7 @@
 
     /** Drops what is old, and returns the record of the rest, as of now. */
     RecentOrders record(long now) {
-        all.values().removeIf(o -> isOld(o, now));
+        all.values().removeIf(o -> isExpired(o, now));
         Map<String, String> lives = new TreeMap<>();
         Map<String, Long> waits = new TreeMap<>();
         all.forEach((i, o) -> {
@@ -115,7 +115,7 @@
         return new RecentOrders(lives, waits);
     }
 
-    private boolean isOld(Ordered o, long now) {
+    private boolean isExpired(Ordered o, long now) {
         return now - o.at > takeOverMillis;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipKeeper.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -41,38 +41,38 @@
  * Keeps this entry's lease, and takes duties that nobody owns. A duty is owned by whoever holds its key under
  * a live lease; the revision of the write that took it is the owner's fence.
  */
-final class OwnershipKeeper implements PrefixWatch.Listener, AutoCloseable {
+final class OwnershipManager implements PrefixWatch.Listener, AutoCloseable {
 
     // An entry that dies is followed after this and a renewal's time; the store gives no lease under 1 s.
-    /** How long a lease lasts after its newest renewal, in milliseconds. */
+    /** How long a lease lasts after its latest renewal, in milliseconds. */
     static final long TTL_MILLIS = 1_500;
 
     private static final long RENEW_MILLIS = 450;
     // A renewal that has no answer by then is followed by another beside it. Four go out before a lease ends, so that a
     // store that loses half of its answers ends it one time in sixteen, not in four. A slow store takes 250 ms.
-    private static final long RENEW_AGAIN_MILLIS = 250;
+    private static final long RENEW_RETRY_MILLIS = 250;
     private static final long RETRY_MILLIS = 200;
     // An entry takes a duty this much later for each one that comes before it: a write takes 10 ms.
     private static final long STAGGER_MILLIS = 100;
     // But not later than after so many: of the entries before it, any number may have died at the same moment.
-    private static final int MOST_PLACES = 5;
+    private static final int MAX_RANK = 5;
     // And this much later for each one that it has already, up to some: after a loss of power all entries start within
     // 0.3 s, and what the first of them leaves for a moment goes to the others.
-    private static final long NEXT_DUTY_MILLIS = 200;
-    private static final int MOST_STEPS = 4;
+    private static final long DUTY_DELAY_MILLIS = 200;
+    private static final int MAX_DUTY_STEPS = 4;
 
     // A hand-over leaves a service without an owner for about 100 ms: not too often, and not to an entry that has
     // just started.
-    private static final long SHARE_EVERY_MILLIS = 2_000;
-    private static final long SETTLED_MILLIS = 2_000;
+    private static final long REBALANCE_INTERVAL_MILLIS = 2_000;
+    private static final long MIN_REGISTERED_MILLIS = 2_000;
     // Nor before it has been of use: its owner has read all that it needs, and asked every worker.
-    private static final long HELD_MILLIS = 5_000;
+    private static final long MIN_HOLD_MILLIS = 5_000;
     // When the store comes back after all leases have ended, entries come back within this.
-    private static final long RETURN_MILLIS = 1_000;
-    // An entry that could not begin with a duty leaves it to the others for so long, and tries again if they can't
+    private static final long REJOIN_MILLIS = 1_000;
+    // An entry that could not begin with a duty leaves it to the others for so long, and tries retry if they can't
     // either.
-    private static final long LEAVE_TO_OTHERS_MILLIS = 10_000;
-    private static final long LEAST_CAPACITY = 1;
+    private static final long DEFER_MILLIS = 10_000;
+    private static final long MIN_CAPACITY = 1;
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -81,17 +81,17 @@
     private final long capacity;
     private final Listener listener;
     private final PrefixWatch watch;
-    private final Members members;
-    private final HandOvers handOvers;
+    private final MemberRegistry members;
+    private final HandOverCoordinator handOvers;
     private final TreeMap<String, Long> owned = new TreeMap<>();
     private final Set<String> duties = new TreeSet<>();
     private final Set<String> attempts = new HashSet<>();
     /** Fences of duties that were handed over; the watch may show them for a moment longer. */
-    private final Set<Long> released = new HashSet<>();
+    private final Set<Long> releasedFences = new HashSet<>();
     /** Fences under which this entry has owned a duty and does not any more: what it sent may still be under way. */
-    private final Set<Long> spent = new HashSet<>();
+    private final Set<Long> endedFences = new HashSet<>();
     /** Duties that this entry could not begin with, and until when it leaves them to others. */
-    private final Map<String, Long> leftUntil = new HashMap<>();
+    private final Map<String, Long> deferredUntil = new HashMap<>();
 
     /** Since when a duty is known to be free. */
     private final Map<String, Long> freeSince = new HashMap<>();
@@ -99,12 +99,12 @@
     private final Map<String, Long> wonAt = new HashMap<>();
 
     private long lease;
-    /** The number of the newest renewal; one more once that is answered. */
+    /** The number of the latest renewal; one more once that is answered. */
     private long renewal;
 
     private long reopenedAt = Long.MIN_VALUE / 2;
-    private long keptAt = Long.MIN_VALUE / 2;
-    private long sharedAt = Long.MIN_VALUE / 2;
+    private long renewalSentAt = Long.MIN_VALUE / 2;
+    private long rebalancedAt = Long.MIN_VALUE / 2;
     private boolean registered;
     private boolean stopping;
 
@@ -117,7 +117,7 @@
          * This entry is about to hand a duty over: it is to begin nothing new, and to make durable what it alone knows,
          * while its key still allows that. The duty goes when the future ends, or is lost before.
          */
-        default CompletableFuture<Void> handOver(String duty, HandOver why) {
+        default CompletableFuture<Void> handOver(String duty, HandOverReason why) {
             return CompletableFuture.completedFuture(null);
         }
 
@@ -125,16 +125,16 @@
         void lost(String duty, String why);
     }
 
-    OwnershipKeeper(KeyValueStore store, EventLoop loop, String entry, long capacity, Listener listener) {
+    OwnershipManager(KeyValueStore store, EventLoop loop, String entry, long capacity, Listener listener) {
         this.store = store;
         this.loop = loop;
         this.entry = entry;
         this.capacity = capacity;
-        this.life = Members.newLife(entry);
+        this.life = MemberRegistry.newLife(entry);
         this.listener = listener;
         watch = new PrefixWatch(store, loop, JobKeys.MEMBERS, this);
-        members = new Members(watch, loop.clock(), entry, capacity);
-        handOvers = new HandOvers(loop, listener);
+        members = new MemberRegistry(watch, loop.clock(), entry, capacity);
+        handOvers = new HandOverCoordinator(loop, listener);
     }
 
     void start() {
@@ -146,22 +146,22 @@
     void setDuties(Set<String> wanted) {
         duties.clear();
         duties.addAll(wanted);
-        seekDuties();
+        acquireFreeDuties();
     }
 
-    /** Returns since when this entry's ownership may have ended: when the newest renewal was sent. */
+    /** Returns since when this entry's ownership may have ended: when the latest renewal was sent. */
     long confirmedAt() {
-        return keptAt;
+        return renewalSentAt;
     }
 
     /** Returns whether the store has answered within a lease's time. */
     boolean reachesStore() {
-        return loop.clock().millis() - keptAt <= TTL_MILLIS;
+        return loop.clock().millis() - renewalSentAt <= TTL_MILLIS;
     }
 
     /** Returns until when the lease lives for certain, by this entry's clock. */
     long leaseEndsAt() {
-        return keptAt + TTL_MILLIS;
+        return renewalSentAt + TTL_MILLIS;
     }
 
     /** Returns the duties that this entry owns, with their fences. */
@@ -182,64 +182,64 @@
     /**
      * Gives a duty up that was won with this fence, because it is owned elsewhere or can not be fulfilled here. A
      * duty that has been won anew since is kept. If the key turns out to be still this entry's, it is taken up
-     * again under a new fence: nobody else could.
+     * retry under a new fence: nobody else could.
      */
     void giveUp(String duty, long fence, String why) {
         if (owned.remove(duty, fence)) {
-            spent.add(fence);
+            endedFences.add(fence);
             listener.lost(duty, why);
-            loop.after(RETRY_MILLIS, this::review);
+            loop.after(RETRY_MILLIS, this::reconcile);
         }
     }
 
     /**
      * Hands a duty over that was won with this fence and with which this entry can not begin; for a time it does not try
-     * for it again. Without another entry, or while the store is away, it is kept: nobody could do better.
+     * for it retry. Without another entry, or while the store is away, it is kept: nobody could do better.
      */
-    void leaveToOthers(String duty, long fence, String why) {
+    void deferToOthers(String duty, long fence, String why) {
         boolean mine = Long.valueOf(fence).equals(owned.get(duty));
         if (!mine || !reachesStore() || members.entries().size() == 1) {
             return;
         }
-        leftUntil.put(duty, loop.clock().millis() + LEAVE_TO_OTHERS_MILLIS);
-        loop.after(LEAVE_TO_OTHERS_MILLIS, this::tryAgain);
+        deferredUntil.put(duty, loop.clock().millis() + DEFER_MILLIS);
+        loop.after(DEFER_MILLIS, this::onDeferralEnded);
         release(duty, why);
-        tellCapacity();
+        publishCapacity();
     }
 
-    private void tryAgain() {
-        tellCapacity();
-        seekDuties();
+    private void onDeferralEnded() {
+        publishCapacity();
+        acquireFreeDuties();
     }
 
-    private boolean leavesAny() {
-        return leftUntil.keySet().stream().anyMatch(this::leavesToOthers);
+    private boolean defersAny() {
+        return deferredUntil.keySet().stream().anyMatch(this::isDeferred);
     }
 
     /** Returns what the others are told: next to nothing while a duty is left to them, so that none is given to it. */
-    private long toldCapacity() {
-        return leavesAny() ? LEAST_CAPACITY : capacity;
+    private long publishedCapacity() {
+        return defersAny() ? MIN_CAPACITY : capacity;
     }
 
-    private void tellCapacity() {
+    private void publishCapacity() {
         if (lease == 0 || stopping) {
             return;
         }
         store.commit(StoreCommit.builder()
-                        .put(JobKeys.capacity(entry), Long.toString(toldCapacity()), lease)
+                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), lease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
                             if (r.outcome() != CommitResult.Outcome.MADE) {
                                 Log.info("capacity-untold", "outcome", r.outcome());
-                                loop.after(RETRY_MILLIS, this::tellCapacity);
+                                loop.after(RETRY_MILLIS, this::publishCapacity);
                             }
                         },
                         loop::execute);
     }
 
-    private boolean leavesToOthers(String duty) {
-        return leftUntil.getOrDefault(duty, Long.MIN_VALUE) > loop.clock().millis();
+    private boolean isDeferred(String duty) {
+        return deferredUntil.getOrDefault(duty, Long.MIN_VALUE) > loop.clock().millis();
     }
 
     private void openLease() {
@@ -258,28 +258,28 @@
     }
 
     private void leaseOpened(long id, long sentAt) {
-        boolean again = keptAt >= 0;
-        reopenedAt = again ? loop.clock().millis() : reopenedAt;
+        boolean retry = renewalSentAt >= 0;
+        reopenedAt = retry ? loop.clock().millis() : reopenedAt;
         lease = id;
-        keptAt = sentAt;
+        renewalSentAt = sentAt;
         Log.info("lease-opened", "lease", id, "ttl-millis", TTL_MILLIS);
         register();
         loop.after(RENEW_MILLIS, this::renew);
-        seekDuties();
+        acquireFreeDuties();
     }
 
     private void register() {
         long forLease = lease;
         store.commit(StoreCommit.builder()
                         .put(JobKeys.entry(entry), life, forLease)
-                        .put(JobKeys.capacity(entry), Long.toString(toldCapacity()), forLease)
+                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), forLease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
-                            boolean again = r.outcome() == CommitResult.Outcome.REFUSED
+                            boolean retry = r.outcome() == CommitResult.Outcome.REFUSED
                                     || r.outcome() == CommitResult.Outcome.UNKNOWN;
                             registered = r.outcome() == CommitResult.Outcome.MADE && forLease == lease;
-                            if (again && forLease == lease) {
+                            if (retry && forLease == lease) {
                                 loop.after(RETRY_MILLIS, this::register);
                             }
                         },
@@ -293,7 +293,7 @@
         long forLease = lease;
         long sentAt = loop.clock().millis();
         long number = ++renewal;
-        loop.after(RENEW_AGAIN_MILLIS, () -> renewUnless(number));
+        loop.after(RENEW_RETRY_MILLIS, () -> renewUnless(number));
         store.keepLease(forLease)
                 .whenComplete((alive, why) -> loop.execute(() -> {
                     if (why == null && forLease == lease) {
@@ -302,7 +302,7 @@
                 }));
     }
 
-    /** Renews again unless the newest renewal, with this number, has been answered. */
+    /** Renews retry unless the latest renewal, with this number, has been answered. */
     private void renewUnless(long number) {
         if (number == renewal) {
             renew();
@@ -314,8 +314,8 @@
             leaseEnded();
             return;
         }
-        keptAt = Math.max(keptAt, sentAt);
-        shareOut();
+        renewalSentAt = Math.max(renewalSentAt, sentAt);
+        rebalance();
         if (number == renewal) {
             renewal++;
             long next = renewal;
@@ -332,18 +332,18 @@
 
     @Override
     public void onRead() {
-        review();
+        reconcile();
     }
 
     @Override
     public void onChanges(List<StoreChanges.Change> changes) {
-        review();
+        reconcile();
     }
 
-    private void review() {
+    private void reconcile() {
         Map<String, StoreItem> owners = members.owners();
         freeSince.keySet().removeAll(owners.keySet());
-        members.remember();
+        members.rememberRegistered();
         for (Map.Entry<String, Long> o : new ArrayList<>(owned.entrySet())) {
             StoreItem i = owners.get(o.getKey());
             boolean seen = watch.revision() >= o.getValue();
@@ -352,13 +352,13 @@
             }
         }
         owners.forEach(this::adopt);
-        registerAgain();
-        seekDuties();
+        restoreRegistration();
+        acquireFreeDuties();
     }
 
     /** The store may take keys away while their lease lives on. */
-    private void registerAgain() {
-        boolean whole = members.holdsAllOf(lease);
+    private void restoreRegistration() {
+        boolean whole = members.hasOwnRecords(lease);
         if (!whole && registered && lease != 0 && !stopping) {
             registered = false;
             register();
@@ -370,10 +370,11 @@
         if (stopping) {
             return;
         }
-        boolean mine = i.value().equals(entry) && i.lease() == lease && lease != 0 && !released.contains(i.revision());
+        boolean mine =
+                i.value().equals(entry) && i.lease() == lease && lease != 0 && !releasedFences.contains(i.revision());
         if (mine && !owned.containsKey(duty) && !attempts.contains(duty)) {
-            if (spent.contains(i.revision())) {
-                takeAnew(duty, i.revision());
+            if (endedFences.contains(i.revision())) {
+                reacquire(duty, i.revision());
             } else {
                 won(duty, i.revision());
             }
@@ -384,23 +385,23 @@
      * Writes the key once more, so that its revision rises: orders and writes of the time before carry a fence that
      * workers and the store refuse from then on, however late they arrive.
      */
-    private void takeAnew(String duty, long fence) {
+    private void reacquire(String duty, long fence) {
         attempts.add(duty);
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder()
                         .when(key, fence)
                         .put(key, entry, lease)
                         .build())
-                .thenAcceptAsync(r -> taken(duty, r), loop::execute);
+                .thenAcceptAsync(r -> onAcquireResult(duty, r), loop::execute);
     }
 
-    private void seekDuties() {
+    private void acquireFreeDuties() {
         if (stopping || lease == 0) {
             return;
         }
         Map<String, StoreItem> owners = members.owners();
         List<String> free = duties.stream()
-                .filter(d -> !owners.containsKey(d) && !owned.containsKey(d) && !leavesToOthers(d))
+                .filter(d -> !owners.containsKey(d) && !owned.containsKey(d) && !isDeferred(d))
                 .toList();
         // As a rule there is none: this is asked at every change of any entry.
         if (free.isEmpty()) {
@@ -413,42 +414,42 @@
         // Each entry begins with another one: where all start at once, all duties are tried for at once.
         for (String duty : RendezvousHash.rank(entry, free)) {
             if (attempts.add(duty)) {
-                long later = delayMillis(order, duty, steps);
-                loop.after(later, () -> take(duty));
+                long delay = delayMillis(order, duty, steps);
+                loop.after(delay, () -> acquire(duty));
                 steps++;
             }
         }
     }
 
-    private boolean isReturning() {
-        return loop.clock().millis() - reopenedAt <= RETURN_MILLIS;
+    private boolean isRejoining() {
+        return loop.clock().millis() - reopenedAt <= REJOIN_MILLIS;
     }
 
     /** Returns how long after it has become free this entry tries for a duty, with so many others that it has by then. */
     private long delayMillis(OwnerRank order, String duty, int steps) {
-        int place =
-                leavesAny() ? MOST_PLACES : Math.min(MOST_PLACES, order.of(entry, duty, members.ranked(isReturning())));
-        return place * STAGGER_MILLIS + Math.min(steps, MOST_STEPS) * NEXT_DUTY_MILLIS;
+        int rank =
+                defersAny() ? MAX_RANK : Math.min(MAX_RANK, order.of(entry, duty, members.candidates(isRejoining())));
+        return rank * STAGGER_MILLIS + Math.min(steps, MAX_DUTY_STEPS) * DUTY_DELAY_MILLIS;
     }
 
     /**
      * Hands one duty over when another entry had better do it: planned restarts leave all duties to the entry that is
      * restarted last, and a small entry may win one while the large ones start.
      */
-    private void shareOut() {
+    private void rebalance() {
         long now = loop.clock().millis();
-        members.see();
-        if (stopping || now - sharedAt < SHARE_EVERY_MILLIS || owned.isEmpty()) {
+        members.trackRegistrations();
+        if (stopping || now - rebalancedAt < REBALANCE_INTERVAL_MILLIS || owned.isEmpty()) {
             return;
         }
         Map<String, StoreItem> owners = members.owners();
         // What it has done for longest it goes on doing.
-        Optional<String> newest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
-        Optional<String> held = newest.filter(d -> now - wonAt(d) >= HELD_MILLIS);
-        Optional<String> relief = members.order(owners).reliefOf(entry, members.settled(SETTLED_MILLIS));
-        if (held.isPresent() && relief.isPresent() && owners.keySet().containsAll(duties)) {
-            sharedAt = now;
-            release(held.get(), relief.get() + " has less to do for what it can do");
+        Optional<String> latest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
+        Optional<String> held = latest.filter(d -> now - wonAt(d) >= MIN_HOLD_MILLIS);
+        Optional<String> target = members.order(owners).reliefOf(entry, members.registeredFor(MIN_REGISTERED_MILLIS));
+        if (held.isPresent() && target.isPresent() && owners.keySet().containsAll(duties)) {
+            rebalancedAt = now;
+            release(held.get(), target.get() + " has less to do for what it can do");
         }
     }
 
@@ -459,11 +460,11 @@
     /** Hands a duty over: its owner writes what it alone knows, then the key goes. */
     private void release(String duty, String why) {
         Long fence = owned.get(duty);
-        if (fence == null || handOvers.isUnderWay(fence)) {
+        if (fence == null || handOvers.isInProgress(fence)) {
             return;
         }
         handOvers
-                .begin(duty, fence, HandOver.TO_ANOTHER_ENTRY)
+                .begin(duty, fence, HandOverReason.TO_ANOTHER_ENTRY)
                 .thenRunAsync(() -> removeKey(duty, fence, why), loop::execute);
     }
 
@@ -471,9 +472,9 @@
         if (!owned.remove(duty, fence)) {
             return;
         }
-        spent.add(fence);
+        endedFences.add(fence);
         listener.lost(duty, why);
-        released.add(fence);
+        releasedFences.add(fence);
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, fence).remove(key).build())
                 .thenAcceptAsync(
@@ -481,38 +482,38 @@
                             Log.info("duty-released", "duty", duty, "fence", fence, "outcome", r.outcome());
                             if (r.outcome() != CommitResult.Outcome.MADE) {
                                 // It may still be this entry's, and then nobody else could take it up.
-                                released.remove(fence);
-                                loop.after(RETRY_MILLIS, this::review);
+                                releasedFences.remove(fence);
+                                loop.after(RETRY_MILLIS, this::reconcile);
                             }
                         },
                         loop::execute);
     }
 
-    private void take(String duty) {
+    private void acquire(String duty) {
         Map<String, StoreItem> owners = members.owners();
         boolean free = !owners.containsKey(duty) && !owned.containsKey(duty);
         if (!free || stopping || lease == 0 || !duties.contains(duty)) {
             attempts.remove(duty);
             return;
         }
-        // It may have been owned and become free again since this try was planned: its time counts anew.
+        // It may have been owned and become free retry since this try was planned: its time counts anew.
         long now = loop.clock().millis();
         long due = freeSince.getOrDefault(duty, now) + delayMillis(members.order(owners), duty, owned.size());
         if (now < due) {
-            loop.after(due - now, () -> take(duty));
+            loop.after(due - now, () -> acquire(duty));
             return;
         }
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, 0).put(key, entry, lease).build())
-                .thenAcceptAsync(r -> taken(duty, r), loop::execute);
+                .thenAcceptAsync(r -> onAcquireResult(duty, r), loop::execute);
     }
 
-    private void taken(String duty, CommitResult r) {
+    private void onAcquireResult(String duty, CommitResult r) {
         attempts.remove(duty);
         if (r.outcome() == CommitResult.Outcome.MADE && !stopping) {
             won(duty, r.revision());
         } else if (r.outcome() != CommitResult.Outcome.CONFLICT) {
-            loop.after(RETRY_MILLIS, this::review);
+            loop.after(RETRY_MILLIS, this::reconcile);
         }
     }
 
@@ -529,7 +530,7 @@
         }
         stopping = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
-        owned.forEach((duty, fence) -> all.add(handOvers.begin(duty, fence, HandOver.OF_AN_ENTRY_THAT_ENDS)));
+        owned.forEach((duty, fence) -> all.add(handOvers.begin(duty, fence, HandOverReason.ENTRY_SHUTDOWN)));
         CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenRunAsync(this::endLease, loop::execute);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
@@ -36,12 +36,12 @@
     private static final long RETRY_MILLIS = 200;
     // A watch whose answer is lost is noticed after this and a call's time: sooner than the 3 s of calm after
     // which the platform holds an entry to its bounds.
-    private static final long WAIT_MILLIS = 1_500;
+    private static final long WATCH_MILLIS = 1_500;
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final String prefix;
-    private final long pauseMillis;
+    private final long batchMillis;
     private final Listener listener;
     private final Map<String, StoreItem> items = new LinkedHashMap<>();
     private long revision;
@@ -61,7 +61,7 @@
         void onChanges(List<StoreChanges.Change> changes);
 
         /** Returns a listener that does the same whatever happened. */
-        static Listener same(Runnable step) {
+        static Listener forAnyChange(Runnable step) {
             return new Listener() {
                 @Override
                 public void onRead() {
@@ -81,11 +81,11 @@
     }
 
     /** Makes a watch that, after changes, lets more of them gather for a time: each answer has its price. */
-    PrefixWatch(KeyValueStore store, EventLoop loop, String prefix, long pauseMillis, Listener listener) {
+    PrefixWatch(KeyValueStore store, EventLoop loop, String prefix, long batchMillis, Listener listener) {
         this.store = store;
         this.loop = loop;
         this.prefix = prefix;
-        this.pauseMillis = pauseMillis;
+        this.batchMillis = batchMillis;
         this.listener = listener;
     }
 
@@ -98,18 +98,18 @@
         store.range(prefix, listener::onPage)
                 .whenComplete((r, why) -> loop.execute(() -> {
                     if (why != null) {
-                        failed(why, this::start);
+                        retryAfterFailure(why, this::start);
                     } else {
-                        readAll(r, sentAt);
+                        onRangeRead(r, sentAt);
                     }
                 }));
     }
 
-    private void readAll(StoreRange r, long sentAt) {
+    private void onRangeRead(StoreRange r, long sentAt) {
         if (closed) {
             return;
         }
-        answered(sentAt);
+        onAnswered(sentAt);
         items.clear();
         r.items().forEach(i -> items.put(i.key(), i));
         revision = r.revision();
@@ -122,12 +122,12 @@
             return;
         }
         long sentAt = loop.clock().millis();
-        store.watch(prefix, revision, WAIT_MILLIS)
+        store.watch(prefix, revision, WATCH_MILLIS)
                 .whenComplete((c, why) -> loop.execute(() -> {
                     if (why != null) {
                         watchFailed(why);
                     } else {
-                        changed(c, sentAt);
+                        onWatchAnswered(c, sentAt);
                     }
                 }));
     }
@@ -138,15 +138,15 @@
             Log.info("watch-history-gone", "prefix", prefix, "revision", revision);
             start();
         } else {
-            failed(why, this::start);
+            retryAfterFailure(why, this::start);
         }
     }
 
-    private void changed(StoreChanges c, long sentAt) {
+    private void onWatchAnswered(StoreChanges c, long sentAt) {
         if (closed) {
             return;
         }
-        answered(sentAt);
+        onAnswered(sentAt);
         revision = Math.max(revision, c.revision());
         for (StoreChanges.Change change : c.changes()) {
             if (change.item() == null) {
@@ -160,14 +160,14 @@
             return;
         }
         listener.onChanges(c.changes());
-        if (pauseMillis == 0) {
+        if (batchMillis == 0) {
             watch();
         } else {
-            loop.after(pauseMillis, this::watch);
+            loop.after(batchMillis, this::watch);
         }
     }
 
-    private void answered(long sentAt) {
+    private void onAnswered(long sentAt) {
         confirmedAt = sentAt;
         if (!reachable) {
             reachable = true;
@@ -175,7 +175,7 @@
         }
     }
 
-    private void failed(Throwable why, Runnable again) {
+    private void retryAfterFailure(Throwable why, Runnable retry) {
         if (closed) {
             return;
         }
@@ -183,7 +183,7 @@
             reachable = false;
             Log.warn("watch-lost", "prefix", prefix, "why", StoreFailure.text(why));
         }
-        loop.after(RETRY_MILLIS, again);
+        loop.after(RETRY_MILLIS, retry);
     }
 
     /** Returns the items as last seen. */
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaKeeper.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
@@ -41,7 +41,7 @@
  * computes. Each write is conditional on the ownership of the service and on the last observed revisions of the allocations.
  * Does not access the store while no workspace has a quota.
  */
-final class QuotaKeeper implements AutoCloseable {
+final class QuotaManager implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 150;
     private static final long WATCH_BATCH_MILLIS = 40;
@@ -52,9 +52,9 @@
     private final EventLoop loop;
     private final String ownerKey;
     private final long fence;
-    private final Supplier<WorkspacesInForce> workspaces;
+    private final Supplier<ActiveWorkspaces> workspaces;
     private final UnreadableEntries unreadable;
-    private final JobMeters meters;
+    private final JobMetrics meters;
     private final Runnable onChange;
     private final PrefixWatch watch;
     private final QuotaTable table;
@@ -68,7 +68,7 @@
     private final Set<String> unmetRequests = new HashSet<>();
 
     /** Makes the keeper; {@code onChange} is called when allocations may have changed. */
-    QuotaKeeper(SchedulerHost.Entry entry, String service, long fence, Runnable onChange) {
+    QuotaManager(SchedulerHost.Context entry, String service, long fence, Runnable onChange) {
         this.store = entry.store();
         this.loop = entry.loop();
         this.ownerKey = JobKeys.owner(service);
@@ -83,7 +83,7 @@
                 loop,
                 JobKeys.quotas(),
                 WATCH_BATCH_MILLIS,
-                PrefixWatch.Listener.same(this::onAllocationsChanged));
+                PrefixWatch.Listener.forAnyChange(this::onAllocationsChanged));
         configure();
     }
 
@@ -92,7 +92,7 @@
     }
 
     private void configure() {
-        WorkspacesInForce current = workspaces.get();
+        ActiveWorkspaces current = workspaces.get();
         if (!current.workspaces().equals(configured)) {
             configured = current.workspaces();
             table.configure(current.workspaces());
@@ -109,7 +109,7 @@
             return;
         }
         allocationsRead = true;
-        unreadable.onlyThese(JobKeys.quotas(), watch.items());
+        unreadable.retainOnly(JobKeys.quotas(), watch.items());
         applyStored();
         onChange.run();
     }
@@ -129,7 +129,7 @@
     }
 
     private void applyStored(WorkspaceQuota q, StoreItem item) {
-        QuotaAllocation a = unreadable.taken(Kind.QUOTA, item, item.read(QuotaAllocation.class));
+        QuotaAllocation a = unreadable.recordOrNull(Kind.QUOTA, item, item.read(QuotaAllocation.class));
         if (a == null) {
             q.onUnreadable();
         } else {
@@ -159,7 +159,7 @@
     }
 
     private void write(Map<String, QuotaAllocation> due) {
-        WorkspacesInForce current = workspaces.get();
+        ActiveWorkspaces current = workspaces.get();
         // No grant is raised by a maximum that a newer configuration may have lowered.
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence).when(current.key(), current.revision());
         due.forEach((name, a) -> {
@@ -172,7 +172,7 @@
         store.commit(b.build()).thenAcceptAsync(r -> onWritten(due, r, current), loop::execute);
     }
 
-    private void onWritten(Map<String, QuotaAllocation> due, CommitResult r, WorkspacesInForce current) {
+    private void onWritten(Map<String, QuotaAllocation> due, CommitResult r, ActiveWorkspaces current) {
         writing = false;
         meters.quotaWritten(r.outcome());
         switch (r.outcome()) {
@@ -197,7 +197,7 @@
     }
 
     /** Without the ownership no write can succeed any more; a newer configuration is known here soon. */
-    private long retryAfterConflict(CommitResult r, WorkspacesInForce current) {
+    private long retryAfterConflict(CommitResult r, ActiveWorkspaces current) {
         if (r.revisionOf(ownerKey) != fence) {
             return Long.MAX_VALUE;
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EarlierJobs.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/RecoveredJobs.java
@@ -33,28 +33,28 @@
 
 /**
  * What a service's store still knows of jobs that this owner's scheduler does not: how far earlier owners have brought
- * them, and which are over. Records of the latter are removed once nobody may ask for them any more.
+ * them, and which are finished. Records of the latter are removed once nobody may ask for them any more.
  */
-final class EarlierJobs {
+final class RecoveredJobs {
 
     // Callers may ask for 120 s after a job's end.
     /** How long after its end a job's records are kept, in milliseconds. */
-    static final long FORGET_AFTER_MILLIS = 130_000;
+    static final long RETENTION_MILLIS = 130_000;
     // Three keys a job, and a call takes 32 rows.
-    private static final int FORGET_AT_ONCE = 10;
+    private static final int JOBS_PER_REMOVAL = 10;
 
-    private final OwnedRecords records;
+    private final FencedRecordWriter records;
     private final EventLoop loop;
     private final String service;
     private final UnreadableEntries unreadable;
     private final Map<JobKey, JobProgress> progress = new HashMap<>();
     /** Jobs that are over, with when their records may be removed. */
-    private final Map<JobKey, Long> over = new HashMap<>();
+    private final Map<JobKey, Long> finished = new HashMap<>();
 
     /** Jobs whose progress is written in a way that this version can not read. */
-    private final Set<JobKey> unread = new HashSet<>();
+    private final Set<JobKey> unreadableJobs = new HashSet<>();
 
-    EarlierJobs(OwnedRecords records, EventLoop loop, String service, UnreadableEntries unreadable) {
+    RecoveredJobs(FencedRecordWriter records, EventLoop loop, String service, UnreadableEntries unreadable) {
         this.records = records;
         this.loop = loop;
         this.service = service;
@@ -63,19 +63,19 @@
 
     /** Takes in the progress of all jobs of the service. */
     void read(StoreRange all) {
-        unreadable.onlyThese(JobKeys.progress(service), all.items());
+        unreadable.retainOnly(JobKeys.progress(service), all.items());
         all.items().forEach(i -> JobKeys.progressOf(service, i.key()).ifPresent(job -> read(job, i)));
     }
 
     private void read(JobKey job, StoreItem i) {
-        records.known(i.key(), i.revision());
-        JobProgress p = unreadable.taken(Kind.PROGRESS, i, i.read(JobProgress.class));
+        records.expectRevision(i.key(), i.revision());
+        JobProgress p = unreadable.recordOrNull(Kind.PROGRESS, i, i.read(JobProgress.class));
         if (p == null) {
-            unread.add(job);
+            unreadableJobs.add(job);
         } else {
             progress.put(job, p);
             p.unreadablePart()
-                    .ifPresent(why -> unreadable.unreadable(
+                    .ifPresent(why -> unreadable.markUnreadable(
                             new UnreadableEntries.Entry(Kind.PROGRESS, i.key(), i.revision(), why)));
         }
     }
@@ -84,17 +84,17 @@
      * Returns whether a job has progress that can not be read. It may have run in part or as a whole, so it must neither
      * be begun as a new one nor be written of.
      */
-    boolean isUnread(JobKey job) {
-        return unread.contains(job);
+    boolean isUnreadable(JobKey job) {
+        return unreadableJobs.contains(job);
     }
 
     /** Returns how many jobs have progress that nobody has taken yet. */
-    int known() {
+    int unclaimedCount() {
         return progress.size();
     }
 
-    /** Returns how many of those are over. */
-    long over() {
+    /** Returns how many of those are finished. */
+    long finishedCount() {
         return progress.values().stream().filter(JobProgress::over).count();
     }
 
@@ -104,28 +104,28 @@
         return progress.remove(job);
     }
 
-    /** Returns whether a job is over: most of the last minutes are, and reading them all would hold up a take-over. */
-    boolean isOver(JobKey job) {
+    /** Returns whether a job is over: most of the last minutes are, and reading them all would hold up a take-finished. */
+    boolean isFinished(JobKey job) {
         JobProgress p = progress.get(job);
         if (p != null && p.over()) {
             progress.remove(job);
-            over.put(job, loop.clock().millis() + FORGET_AFTER_MILLIS);
+            finished.put(job, loop.clock().millis() + RETENTION_MILLIS);
         }
-        return over.containsKey(job);
+        return finished.containsKey(job);
     }
 
     /** Removes the records of these jobs, and of others whose time has come. */
-    void forget(Collection<JobKey> ended) {
+    void removeExpired(Collection<JobKey> ended) {
         long now = loop.clock().millis();
-        ended.forEach(j -> over.put(j, now));
-        List<JobKey> due = over.entrySet().stream()
+        ended.forEach(j -> finished.put(j, now));
+        List<JobKey> due = finished.entrySet().stream()
                 .filter(e -> e.getValue() <= now)
                 .map(Map.Entry::getKey)
                 .toList();
-        for (int i = 0; i < due.size(); i += FORGET_AT_ONCE) {
-            List<JobKey> some = due.subList(i, Math.min(due.size(), i + FORGET_AT_ONCE));
+        for (int i = 0; i < due.size(); i += JOBS_PER_REMOVAL) {
+            List<JobKey> batch = due.subList(i, Math.min(due.size(), i + JOBS_PER_REMOVAL));
             // Until their records are gone for certain, a new read of them must not make new jobs of them.
-            records.forget(some.stream().flatMap(this::keysOf).toList(), () -> some.forEach(over::remove));
+            records.remove(batch.stream().flatMap(this::keysOf).toList(), () -> batch.forEach(finished::remove));
         }
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -59,38 +59,38 @@
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
 /**
- * Runs the scheduler of one service while this entry owns it: reads what earlier owners left, watches for new
+ * Runs the scheduler of one service while this entry owns it: reads what recovered owners left, watches for new
  * jobs, carries orders out and makes progress durable. All on the event loop.
  */
 final class SchedulerHost implements SchedulerPort, PrefixWatch.Listener, AutoCloseable {
 
     private static final long TICK_MILLIS = 25;
     // An entry has less than a core; events come every few milliseconds when it is busy.
-    private static final long TICK_GAP_MILLIS = 5;
+    private static final long MIN_TICK_GAP_MILLIS = 5;
     private static final long RETRY_MILLIS = 150;
     // Counts of waiting jobs may be 2 s old when they are told; pools are sized by the same report.
     private static final long REPORT_MILLIS = 400;
     private static final long REPORT_CHECK_MILLIS = 120;
-    private static final long LOOK_FOR_MISSED_MILLIS = 700;
-    private static final long FORGET_EVERY_MILLIS = 5_000;
+    private static final long MISSING_WORKER_CHECK_MILLIS = 700;
+    private static final long REMOVAL_INTERVAL_MILLIS = 5_000;
     // What was heard is still worth writing when the store comes back: its outages last 3 to 9 s. If the key is there
     // by
     // then nobody else owns the service, and it allows the write.
-    private static final long REST_MILLIS = 10_000;
+    private static final long FINAL_WRITE_MILLIS = 10_000;
     // One line a second and service: what an engineer on call asks first.
-    private static final long TELL_LOAD_MILLIS = 1_000;
+    private static final long LOAD_LOG_MILLIS = 1_000;
 
-    private final Entry entry;
+    private final Context context;
     private final String service;
     private final long fence;
-    private final Runnable ownershipGone;
-    private final StartPatience patience;
+    private final Runnable onOwnershipLost;
+    private final StartupWatchdog watchdog;
     private final long startedAt;
-    private final OwnedRecords records;
+    private final FencedRecordWriter records;
     private final PrefixWatch inputs;
     private final EvacuationFeed evacuations;
-    private final EarlierJobs earlier;
-    private final QuotaKeeper quotas;
+    private final RecoveredJobs recovered;
+    private final QuotaManager quotas;
 
     private @Nullable ServiceScheduler scheduler;
     private final WorkerFeed workers;
@@ -102,8 +102,8 @@
     private @Nullable CompletableFuture<Void> handedOver;
     private long closedAt;
     private boolean closed;
-    /** Whether another owner is known to have followed: nothing that this one writes counts any more. */
-    private boolean followed;
+    /** Whether another owner is known to have superseded: nothing that this one writes counts any more. */
+    private boolean superseded;
 
     /**
      * What all schedulers of an entry share.
@@ -120,7 +120,7 @@
      * @param unreadable entries of the store that can not be read
      * @param workspaces supplies the workspaces of the current configuration
      */
-    record Entry(
+    record Context(
             KeyValueStore store,
             WorkerOrders orders,
             AdviceService advice,
@@ -129,45 +129,51 @@
             BooleanSupplier reachesStore,
             Clock wall,
             SchedulerTiming timing,
-            JobMeters meters,
+            JobMetrics meters,
             UnreadableEntries unreadable,
-            Supplier<WorkspacesInForce> workspaces) {}
+            Supplier<ActiveWorkspaces> workspaces) {}
 
     /**
      * Makes the host.
      *
-     * @param ownershipGone is run when another owner is known to have followed
-     * @param canNotBegin is run when what earlier owners left can not be read
+     * @param onOwnershipLost is run when another owner is known to have superseded
+     * @param onStartStalled is run when what recovered owners left can not be read
      */
     SchedulerHost(
-            Entry entry, String service, long fence, WorkerFeed workers, Runnable ownershipGone, Runnable canNotBegin) {
-        this.entry = entry;
+            Context context,
+            String service,
+            long fence,
+            WorkerFeed workers,
+            Runnable onOwnershipLost,
+            Runnable onStartStalled) {
+        this.context = context;
         this.service = service;
         this.fence = fence;
         this.workers = workers;
-        this.ownershipGone = ownershipGone;
-        patience = new StartPatience(entry.loop, () -> !closed && scheduler == null, entry.reachesStore, canNotBegin);
-        startedAt = entry.loop.clock().millis();
-        records = new OwnedRecords(entry.store, entry.loop, service, fence);
-        quotas = new QuotaKeeper(entry, service, fence, this::requestTick);
-        earlier = new EarlierJobs(records, entry.loop, service, entry.unreadable);
-        inputs = new PrefixWatch(entry.store, entry.loop, JobKeys.inputs(service), this);
+        this.onOwnershipLost = onOwnershipLost;
+        watchdog = new StartupWatchdog(
+                context.loop, () -> !closed && scheduler == null, context.reachesStore, onStartStalled);
+        startedAt = context.loop.clock().millis();
+        records = new FencedRecordWriter(context.store, context.loop, service, fence);
+        quotas = new QuotaManager(context, service, fence, this::requestTick);
+        recovered = new RecoveredJobs(records, context.loop, service, context.unreadable);
+        inputs = new PrefixWatch(context.store, context.loop, JobKeys.inputs(service), this);
         evacuations = new EvacuationFeed(
-                entry.store,
-                entry.loop,
+                context.store,
+                context.loop,
                 service,
                 records,
-                entry.unreadable,
-                (leaving, urgent) -> told(s -> s.onEvacuations(leaving, urgent)));
+                context.unreadable,
+                (leaving, urgent) -> notifyScheduler(s -> s.onEvacuations(leaving, urgent)));
     }
 
-    /** Reads what earlier owners left, then begins. */
+    /** Reads what recovered owners left, then begins. */
     void start() {
         readProgress();
     }
 
     /** Returns whether jobs are being scheduled. */
-    boolean hasBegun() {
+    boolean isStarted() {
         return scheduler != null;
     }
 
@@ -175,14 +181,14 @@
         if (closed) {
             return;
         }
-        entry.store
-                .range(JobKeys.progress(service), patience::moved)
-                .whenComplete((r, why) -> entry.loop.execute(() -> {
+        context.store
+                .range(JobKeys.progress(service), watchdog::onProgress)
+                .whenComplete((r, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.warn("progress-unread", "service", service, "why", StoreFailure.text(why));
-                        entry.loop.after(RETRY_MILLIS, this::readProgress);
+                        context.loop.after(RETRY_MILLIS, this::readProgress);
                     } else {
-                        earlier.read(r);
+                        recovered.read(r);
                         inputs.start();
                     }
                 }));
@@ -190,7 +196,7 @@
 
     @Override
     public void onPage() {
-        patience.moved();
+        watchdog.onProgress();
     }
 
     @Override
@@ -201,12 +207,13 @@
         if (scheduler == null) {
             begin();
         }
-        entry.unreadable.onlyThese(JobKeys.inputs(service), inputs.items());
+        context.unreadable.retainOnly(JobKeys.inputs(service), inputs.items());
         takeAll(List.copyOf(inputs.items()));
     }
 
     private void begin() {
-        scheduler = new ServiceScheduler(service, entry.timing, this, quotas.table(), entry.loop.clock(), entry.wall);
+        scheduler =
+                new ServiceScheduler(service, context.timing, this, quotas.table(), context.loop.clock(), context.wall);
         Collection<WorkerFacts> listed = workers.of(service);
         scheduler.onWorkers(listed);
         evacuations.start();
@@ -217,24 +224,24 @@
                 "fence",
                 fence,
                 "millis",
-                entry.loop.clock().millis() - startedAt,
+                context.loop.clock().millis() - startedAt,
                 "inputs",
                 inputs.items().size(),
                 "workers",
                 listed.size(),
                 "jobs-known",
-                earlier.known(),
+                recovered.unclaimedCount(),
                 "jobs-over",
-                earlier.over());
+                recovered.finishedCount());
         repeat(TICK_MILLIS, this::tick);
         repeat(REPORT_CHECK_MILLIS, this::writeReport);
-        repeat(FORGET_EVERY_MILLIS, this::forgetEnded);
-        repeat(LOOK_FOR_MISSED_MILLIS, this::lookForMissed);
-        repeat(TELL_LOAD_MILLIS, this::tellLoad);
+        repeat(REMOVAL_INTERVAL_MILLIS, this::removeExpired);
+        repeat(MISSING_WORKER_CHECK_MILLIS, this::findMissingWorkers);
+        repeat(LOAD_LOG_MILLIS, this::logLoad);
     }
 
     private void repeat(long millis, Runnable step) {
-        entry.loop.after(millis, () -> {
+        context.loop.after(millis, () -> {
             if (!closed) {
                 step.run();
                 repeat(millis, step);
@@ -247,7 +254,7 @@
         if (closed) {
             return;
         }
-        changes.stream().filter(c -> c.item() == null).forEach(c -> entry.unreadable.gone(c.key()));
+        changes.stream().filter(c -> c.item() == null).forEach(c -> context.unreadable.onRemoved(c.key()));
         takeAll(changes.stream()
                 .map(StoreChanges.Change::item)
                 .filter(Objects::nonNull)
@@ -268,12 +275,12 @@
         }
         JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
         // A small record is never a job, even if nothing is known of its progress.
-        if (key != null && !earlier.isOver(key) && !i.value().equals(JobSpec.OVER)) {
-            JobSpec spec = entry.unreadable.taken(Kind.JOB, i, read(i, key));
-            if (spec == null || earlier.isUnread(key)) {
+        if (key != null && !recovered.isFinished(key) && !i.value().equals(JobSpec.OVER)) {
+            JobSpec spec = context.unreadable.recordOrNull(Kind.JOB, i, read(i, key));
+            if (spec == null || recovered.isUnreadable(key)) {
                 s.onUnreadableJob(key);
             } else {
-                s.onJob(spec, earlier.takeProgress(key));
+                s.onJob(spec, recovered.takeProgress(key));
             }
         }
     }
@@ -299,18 +306,18 @@
         }
     }
 
-    private void lookForMissed() {
+    private void findMissingWorkers() {
         if (scheduler == null || !scheduler.missesWorkers()) {
             return;
         }
-        long askedAt = entry.loop.clock().millis();
-        entry.instances
+        long askedAt = context.loop.clock().millis();
+        context.instances
                 .list()
-                .whenComplete((all, why) -> entry.loop.execute(() -> {
+                .whenComplete((all, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.info("instances-unread", "service", service, "why", StoreFailure.text(why));
                     } else if (!all.instances().isEmpty() && all.namesAllWorkers()) {
-                        told(s -> s.onLiving(living(all.instances()), askedAt));
+                        notifyScheduler(s -> s.onLiving(living(all.instances()), askedAt));
                     }
                 }));
     }
@@ -326,16 +333,16 @@
     private void requestTick() {
         if (!tickQueued) {
             tickQueued = true;
-            long due = tickedAt + TICK_GAP_MILLIS - entry.loop.clock().millis();
-            entry.loop.after(Math.max(0, due), this::tick);
+            long due = tickedAt + MIN_TICK_GAP_MILLIS - context.loop.clock().millis();
+            context.loop.after(Math.max(0, due), this::tick);
         }
     }
 
     private void tick() {
         tickQueued = false;
-        tickedAt = entry.loop.clock().millis();
+        tickedAt = context.loop.clock().millis();
         if (!closed && scheduler != null) {
-            // A worker that an earlier owner has called empty may be ordered away at any moment: nothing is placed
+            // A worker that an recovered owner has called empty may be ordered away at any moment: nothing is placed
             // before
             // the requests are read. Nor is anything started while a cancellation may have been answered that is not
             // known here: right after an outage of the store the list of workers may be new and the jobs' one not.
@@ -368,7 +375,7 @@
         }
     }
 
-    private void told(Consumer<ServiceScheduler> event) {
+    private void notifyScheduler(Consumer<ServiceScheduler> event) {
         if (!closed && scheduler != null) {
             event.accept(scheduler);
             requestTick();
@@ -377,30 +384,34 @@
 
     @Override
     public void start(StartOrder order) {
-        entry.orders.start(order, fence).thenAcceptAsync(o -> told(s -> s.onStarted(order, o)), entry.loop::execute);
+        context.orders
+                .start(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onStarted(order, o)), context.loop::execute);
     }
 
     @Override
     public void stop(StopOrder order) {
-        entry.orders.stop(order, fence).thenAcceptAsync(o -> told(s -> s.onStopped(order, o)), entry.loop::execute);
+        context.orders
+                .stop(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onStopped(order, o)), context.loop::execute);
     }
 
     @Override
     public void hold(HoldOrder order) {
-        long sentAt = entry.loop.clock().millis();
-        entry.orders
+        long sentAt = context.loop.clock().millis();
+        context.orders
                 .hold(order, fence)
                 .exceptionally(why -> unreadable(order, why))
                 .thenAcceptAsync(
-                        r -> told(s -> {
-                            entry.meters.held(r.outcome());
+                        r -> notifyScheduler(s -> {
+                            context.meters.held(r.outcome());
                             if (r.answer() == null) {
                                 s.onHoldFailed(order, r.outcome());
                             } else {
                                 s.onHeld(order, sentAt, r.answer());
                             }
                         }),
-                        entry.loop::execute);
+                        context.loop::execute);
     }
 
     /** A worker whose answer can not be read is one that has not answered: without an outcome it is never asked again. */
@@ -411,32 +422,34 @@
 
     @Override
     public void pace(PaceOrder order) {
-        entry.orders.pace(order, fence).thenAcceptAsync(o -> told(s -> s.onPaced(order, o)), entry.loop::execute);
+        context.orders
+                .pace(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onPaced(order, o)), context.loop::execute);
     }
 
     @Override
     public void advise(AdviceOrder order) {
-        entry.advice
+        context.advice
                 .advise(order)
-                .thenAcceptAsync(a -> told(s -> s.onAdvised(order, a.orElse(null))), entry.loop::execute);
+                .thenAcceptAsync(a -> notifyScheduler(s -> s.onAdvised(order, a.orElse(null))), context.loop::execute);
     }
 
     @Override
     public void save(List<Saving> batch) {
         Map<String, String> values = new LinkedHashMap<>();
-        Map<String, String> small = new LinkedHashMap<>();
+        Map<String, String> reduced = new LinkedHashMap<>();
         for (Saving s : batch) {
             values.put(JobKeys.progress(service, s.job()), RecordCodec.write(s.progress()));
             if (s.progress().over()) {
-                small.put(JobKeys.job(service, s.job()), JobSpec.OVER);
+                reduced.put(JobKeys.job(service, s.job()), JobSpec.OVER);
             }
         }
-        records.write(values, small, outcome -> saved(batch, outcome));
+        records.write(values, reduced, outcome -> saved(batch, outcome));
     }
 
-    private void saved(List<Saving> batch, OwnedRecords.Outcome outcome) {
+    private void saved(List<Saving> batch, FencedRecordWriter.Outcome outcome) {
         ServiceScheduler s = scheduler;
-        if (s == null || followed) {
+        if (s == null || superseded) {
             return;
         }
         switch (outcome) {
@@ -453,7 +466,7 @@
                 s.onSaveRejected(batch);
             }
             case NOT_OWNER -> {
-                followed = true;
+                superseded = true;
                 ownershipLost("the store refused a write: not the owner any more");
             }
         }
@@ -463,17 +476,17 @@
     }
 
     /** Goes on writing what was heard before the end, as long as the store takes it. */
-    private void writeRest() {
+    private void writeRemaining() {
         ServiceScheduler s = scheduler;
-        if (s == null || followed || s.isWritten()) {
+        if (s == null || superseded || s.isWritten()) {
             return;
         }
-        if (entry.loop.clock().millis() - closedAt > REST_MILLIS) {
+        if (context.loop.clock().millis() - closedAt > FINAL_WRITE_MILLIS) {
             Log.warn("progress-left-unwritten", "service", service, "fence", fence);
             return;
         }
         s.writeRest();
-        entry.loop.after(TICK_MILLIS, this::writeRest);
+        context.loop.after(TICK_MILLIS, this::writeRemaining);
     }
 
     @Override
@@ -485,13 +498,13 @@
     public void ownershipLost(String evidence) {
         if (!closed) {
             Log.warn("ownership-lost", "service", service, "fence", fence, "evidence", evidence);
-            entry.loop.execute(ownershipGone);
+            context.loop.execute(onOwnershipLost);
         }
     }
 
     @Override
     public void note(SchedulerEvent e) {
-        entry.meters.decided(e);
+        context.meters.decided(e);
         DecisionLog.write(service, fence, e);
     }
 
@@ -500,7 +513,7 @@
         if (scheduler == null) {
             return;
         }
-        long now = entry.loop.clock().millis();
+        long now = context.loop.clock().millis();
         ServiceReport report = scheduler.report();
         boolean grown = reported == null || report.needed() > reported.needed();
         if (reporting || report.equals(reported) || (!grown && now - reportedAt < REPORT_MILLIS)) {
@@ -511,26 +524,26 @@
         reporting = true;
         records.write(Map.of(JobKeys.report(service), RecordCodec.write(report)), outcome -> {
             reporting = false;
-            reported = outcome == OwnedRecords.Outcome.SAVED ? report : null;
+            reported = outcome == FencedRecordWriter.Outcome.SAVED ? report : null;
         });
     }
 
-    private void tellLoad() {
+    private void logLoad() {
         if (scheduler != null) {
             DecisionLog.writeLoad(service, fence, scheduler.load());
         }
     }
 
-    private void forgetEnded() {
+    private void removeExpired() {
         if (scheduler != null) {
-            earlier.forget(scheduler.forgetEnded(EarlierJobs.FORGET_AFTER_MILLIS));
+            recovered.removeExpired(scheduler.forgetEnded(RecoveredJobs.RETENTION_MILLIS));
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        closedAt = entry.loop.clock().millis();
+        closedAt = context.loop.clock().millis();
         inputs.close();
         evacuations.close();
         quotas.close();
@@ -539,6 +552,6 @@
         if (handedOver != null) {
             handedOver.complete(null);
         }
-        writeRest();
+        writeRemaining();
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StartPatience.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StartupWatchdog.java
@@ -22,52 +22,52 @@
  * How long a new owner tries to begin with its duty. A lease tells that the owner's process lives, not that it gets
  * anywhere; so the owner looks itself whether its reads go on, and makes room when they do not.
  */
-final class StartPatience {
+final class StartupWatchdog {
 
     // A page may take some seconds over a thin link that is shared; service is to be back 12 to 15 s after a loss of
     // power.
     /** How long a new owner waits for the next page of what it has to read, in milliseconds. */
-    static final long MOST_MILLIS = 5_000;
+    static final long MAX_STALL_MILLIS = 5_000;
 
-    private static final long LOOK_MILLIS = 500;
+    private static final long CHECK_MILLIS = 500;
 
     private final EventLoop loop;
     private final BooleanSupplier needed;
     private final BooleanSupplier reachesStore;
-    private final Runnable giveUp;
-    private volatile long movedAt;
+    private final Runnable onStalled;
+    private volatile long lastProgressAt;
 
     /**
      * Makes it; it looks from now on.
      *
      * @param needed whether the duty is still this owner's and has not been begun with
      * @param reachesStore whether the store answers this entry; while it does not, nobody could read
-     * @param giveUp is run each time when nothing has moved for too long
+     * @param onStalled is run each time when nothing has onProgress for too long
      */
-    StartPatience(EventLoop loop, BooleanSupplier needed, BooleanSupplier reachesStore, Runnable giveUp) {
+    StartupWatchdog(EventLoop loop, BooleanSupplier needed, BooleanSupplier reachesStore, Runnable onStalled) {
         this.loop = loop;
         this.needed = needed;
         this.reachesStore = reachesStore;
-        this.giveUp = giveUp;
-        moved();
-        loop.after(LOOK_MILLIS, this::look);
+        this.onStalled = onStalled;
+        onProgress();
+        loop.after(CHECK_MILLIS, this::check);
     }
 
     /** Takes in that something has been read. Any thread may tell. */
-    void moved() {
-        movedAt = loop.clock().millis();
+    void onProgress() {
+        lastProgressAt = loop.clock().millis();
     }
 
-    private void look() {
+    private void check() {
         if (!needed.getAsBoolean()) {
             return;
         }
         if (!reachesStore.getAsBoolean()) {
-            moved();
+            onProgress();
         }
-        if (loop.clock().millis() - movedAt > MOST_MILLIS) {
-            giveUp.run();
+        if (loop.clock().millis() - lastProgressAt > MAX_STALL_MILLIS) {
+            onStalled.run();
         }
-        loop.after(LOOK_MILLIS, this::look);
+        loop.after(CHECK_MILLIS, this::check);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntries.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntries.java
@@ -37,11 +37,11 @@
 public final class UnreadableEntries {
 
     // Another writer may write any number of entries: beyond so many, new ones are counted but not told of one by one.
-    private static final int MOST_TOLD = 1_000;
+    private static final int MAX_TRACKED = 1_000;
 
-    private final JobMeters meters;
+    private final JobMetrics meters;
     private final Map<String, Entry> byKey = new HashMap<>();
-    private boolean leftOutTold;
+    private boolean overflowLogged;
 
     /** What an entry would say if it could be read. */
     public enum Kind {
@@ -73,7 +73,7 @@
         INSTANCE;
 
         /** Returns the word for it in log lines and names of figures. */
-        String word() {
+        String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
@@ -89,67 +89,68 @@
     public record Entry(Kind kind, String key, long revision, Unreadable why) {}
 
     /** Makes an empty list. */
-    public UnreadableEntries(JobMeters meters) {
+    public UnreadableEntries(JobMetrics meters) {
         this.meters = meters;
     }
 
     /** Takes in what came of reading an item, and returns its record; null when it is unreadable. */
-    <T> @Nullable T taken(Kind kind, StoreItem item, Either<Unreadable, T> record) {
+    <T> @Nullable T recordOrNull(Kind kind, StoreItem item, Either<Unreadable, T> record) {
         if (record.isRight()) {
-            readable(item.key());
+            markReadable(item.key());
             return record.get();
         }
-        unreadable(new Entry(kind, item.key(), item.revision(), record.getLeft()));
+        markUnreadable(new Entry(kind, item.key(), item.revision(), record.getLeft()));
         return null;
     }
 
     /** Takes in that an entry can not be read. */
-    synchronized void unreadable(Entry e) {
+    synchronized void markUnreadable(Entry e) {
         Entry known = byKey.get(e.key());
         if (known != null && known.why().equals(e.why())) {
             return;
         }
         meters.unreadable(e.kind());
-        if (known == null && byKey.size() >= MOST_TOLD) {
-            tellLeftOut();
+        if (known == null && byKey.size() >= MAX_TRACKED) {
+            logOverflow();
             return;
         }
         byKey.put(e.key(), e);
-        Log.warn("entry-unreadable", "kind", e.kind().word(), "key", e.key(), "revision", e.revision(), "why", e.why());
+        Log.warn(
+                "entry-unreadable", "kind", e.kind().label(), "key", e.key(), "revision", e.revision(), "why", e.why());
     }
 
-    private void tellLeftOut() {
-        if (!leftOutTold) {
-            leftOutTold = true;
-            Log.warn("entries-unreadable-left-out", "told", MOST_TOLD);
+    private void logOverflow() {
+        if (!overflowLogged) {
+            overflowLogged = true;
+            Log.warn("entries-unreadable-left-out", "told", MAX_TRACKED);
         }
     }
 
     /** Takes in that an entry can be read. */
-    synchronized void readable(String key) {
+    synchronized void markReadable(String key) {
         Entry e = byKey.remove(key);
         if (e != null) {
-            Log.info("entry-readable-again", "kind", e.kind().word(), "key", key);
+            Log.info("entry-readable-again", "kind", e.kind().label(), "key", key);
         }
     }
 
     /** Takes in that an entry is gone. */
-    synchronized void gone(String key) {
+    synchronized void onRemoved(String key) {
         byKey.remove(key);
     }
 
     /** Takes in all items that there are under a prefix: what is not among them is gone. */
-    void onlyThese(String prefix, Collection<StoreItem> items) {
-        onlyThese(prefix, items.stream().map(StoreItem::key).collect(Collectors.toSet()));
+    void retainOnly(String prefix, Collection<StoreItem> items) {
+        retainOnly(prefix, items.stream().map(StoreItem::key).collect(Collectors.toSet()));
     }
 
     /** Takes in all keys that there are under a prefix: what is not among them is gone. */
-    synchronized void onlyThese(String prefix, Set<String> keys) {
+    synchronized void retainOnly(String prefix, Set<String> keys) {
         byKey.keySet().removeIf(k -> k.startsWith(prefix) && !keys.contains(k));
     }
 
     /** Returns all of them, in the order of their keys. */
-    public synchronized List<Entry> now() {
+    public synchronized List<Entry> snapshot() {
         return new ArrayList<>(new TreeMap<>(byKey).values());
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableQuestion.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntriesQuery.java
@@ -32,49 +32,51 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /** Answers which entries of the store can not be read now, from the store itself: a line for each. */
-final class UnreadableQuestion {
+final class UnreadableEntriesQuery {
 
     private final KeyValueStore store;
     private final PlatformRecords records;
 
-    UnreadableQuestion(KeyValueStore store, PlatformRecords records) {
+    UnreadableEntriesQuery(KeyValueStore store, PlatformRecords records) {
         this.store = store;
         this.records = records;
     }
 
     /** What is wrong with an item; nothing for one that can be read, or that is none of its kind. */
-    private interface Check {
-        Optional<Unreadable> wrong(StoreItem i);
+    private interface Validator {
+        Optional<Unreadable> validate(StoreItem i);
     }
 
     /** Returns lines of all kinds. */
     CompletableFuture<List<String>> all() {
-        return under(records.configurationKey(), this::configuration)
-                .thenCombine(under(records.workerPrefix(), i -> why(records.worker(i))), UnreadableQuestion::both)
-                .thenCombine(under(records.wavePrefix(), i -> why(records.wave(i))), UnreadableQuestion::both)
-                .thenCombine(under(JobKeys.fleet(), UnreadableQuestion::ofFleet), UnreadableQuestion::both)
-                .thenCombine(ofJobs(), UnreadableQuestion::both);
+        return check(records.configurationKey(), this::configuration)
+                .thenCombine(check(records.workerPrefix(), i -> why(records.worker(i))), UnreadableEntriesQuery::concat)
+                .thenCombine(check(records.wavePrefix(), i -> why(records.wave(i))), UnreadableEntriesQuery::concat)
+                .thenCombine(check(JobKeys.fleet(), UnreadableEntriesQuery::ofFleet), UnreadableEntriesQuery::concat)
+                .thenCombine(ofJobs(), UnreadableEntriesQuery::concat);
     }
 
     /** Returns lines of jobs and their progress: such a job is left alone. */
     CompletableFuture<List<String>> ofJobs() {
-        return under(JobKeys.allInputs(), UnreadableQuestion::ofJob)
+        return check(JobKeys.allInputs(), UnreadableEntriesQuery::ofJob)
                 .thenCombine(
-                        under(JobKeys.allProgress(), i -> why(i.read(JobProgress.class))), UnreadableQuestion::both);
+                        check(JobKeys.allProgress(), i -> why(i.read(JobProgress.class))),
+                        UnreadableEntriesQuery::concat);
     }
 
-    private CompletableFuture<List<String>> under(String prefix, Check check) {
+    private CompletableFuture<List<String>> check(String prefix, Validator validator) {
         return store.range(prefix).thenApply(all -> {
             List<String> lines = new ArrayList<>();
             for (StoreItem i : all.items()) {
-                check.wrong(i)
+                validator
+                        .validate(i)
                         .ifPresent(why -> lines.add(i.key() + "  unreadable: " + why + "  revision " + i.revision()));
             }
             return lines;
         });
     }
 
-    private static List<String> both(List<String> some, List<String> others) {
+    private static List<String> concat(List<String> some, List<String> others) {
         List<String> all = new ArrayList<>(some);
         all.addAll(others);
         return all;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
@@ -31,7 +31,7 @@
 final class WorkerFeed implements PrefixWatch.Listener, AutoCloseable {
 
     // Some worker's record changes every few dozen milliseconds; a leaving worker gives 2 s notice.
-    private static final long PAUSE_MILLIS = 250;
+    private static final long BATCH_MILLIS = 250;
 
     private final PlatformRecords records;
     private final UnreadableEntries unreadable;
@@ -48,7 +48,7 @@
         this.records = records;
         this.unreadable = unreadable;
         this.onChange = onChange;
-        watch = new PrefixWatch(store, loop, records.workerPrefix(), PAUSE_MILLIS, this);
+        watch = new PrefixWatch(store, loop, records.workerPrefix(), BATCH_MILLIS, this);
     }
 
     void start() {
@@ -68,7 +68,7 @@
     @Override
     public void onRead() {
         byKey.clear();
-        unreadable.onlyThese(records.workerPrefix(), watch.items());
+        unreadable.retainOnly(records.workerPrefix(), watch.items());
         new ArrayList<>(watch.items()).forEach(this::take);
         onChange.run();
     }
@@ -78,7 +78,7 @@
         for (StoreChanges.Change c : changes) {
             if (c.item() == null) {
                 byKey.remove(c.key());
-                unreadable.gone(c.key());
+                unreadable.onRemoved(c.key());
             } else {
                 take(c.item());
             }
@@ -91,7 +91,7 @@
      * there is held on: its owner goes on with the address that it has.
      */
     private void take(StoreItem item) {
-        WorkerFacts w = unreadable.taken(Kind.WORKER, item, records.worker(item));
+        WorkerFacts w = unreadable.recordOrNull(Kind.WORKER, item, records.worker(item));
         if (w == null) {
             byKey.remove(item.key());
         } else {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
@@ -24,7 +24,7 @@
     private long now;
 
     /** Advances the clock without running scheduled steps. */
-    void passes(long millis) {
+    void advance(long millis) {
         now += millis;
     }
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -168,7 +168,7 @@
     private SchedulerHost owner(String slowPrefix, long slowMillis) {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, 7_000, 2_000, 10_000);
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
+        SchedulerHost.Context entry = new SchedulerHost.Context(
                 new SlowFor(slowPrefix, slowMillis),
                 orders,
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -177,21 +177,21 @@
                 () -> true,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
         WorkerFeed workers =
-                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMeters()), () -> {});
+                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
         workers.start();
-        passes(50);
+        advance(50);
         SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
-            loop.passes(50);
+            loop.advance(50);
             store.tellWatches();
         }
     }
@@ -217,7 +217,7 @@
     void getsNothingFromASuccessorThatKnowsOfTheRequest() {
         anEmptiedWorkerAndAJobThatWaits();
         owner(JobKeys.evacuations("clips"), 0);
-        passes(1_000);
+        advance(1_000);
         assertEquals(List.of(), orders.startedOn);
     }
 
@@ -225,7 +225,7 @@
     void getsNothingFromASuccessorBeforeItHasReadTheRequests() {
         anEmptiedWorkerAndAJobThatWaits();
         owner(JobKeys.evacuations("clips"), 300);
-        passes(1_000);
+        advance(1_000);
         assertTrue(orders.startedOn.isEmpty(), "its instance may be ordered away at any moment: it was called empty");
     }
 
@@ -233,7 +233,7 @@
     void getsNothingFromASuccessorWhoseStoreIsSlow() {
         anEmptiedWorkerAndAJobThatWaits();
         owner("", 250);
-        passes(3_000);
+        advance(3_000);
         assertTrue(orders.startedOn.isEmpty(), "it was chosen before the requests were read, and started after");
     }
 
@@ -244,15 +244,15 @@
         SchedulerHost host = owner(JobKeys.evacuations("clips"), 0);
         TaskId first = new TaskId(0, 0, 0);
         orders.running = List.of(new RunningReport("a", first, 1, "", 50, -1));
-        passes(1_000);
+        advance(1_000);
         assertEquals(List.of("w1"), orders.startedOn);
         orders.running = List.of();
         orders.ended = List.of(new EndReport(1, "a", first, 1, EndKind.DONE, ""));
         store.holdsCommits = true;
-        loop.passes(30);
+        loop.advance(30);
         store.holdsCommits = false;
         host.close();
-        passes(1_000);
+        advance(1_000);
         JobProgress left = RecordCodec.read(
                         store.value(JobKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
                 .get();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
@@ -38,8 +38,8 @@
             store,
             loop,
             "clips",
-            new OwnedRecords(store, loop, "clips", fence),
-            new UnreadableEntries(new JobMeters()),
+            new FencedRecordWriter(store, loop, "clips", fence),
+            new UnreadableEntries(new JobMetrics()),
             (workers, urgent) -> {
                 wanted.clear();
                 wanted.addAll(workers);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
@@ -48,7 +48,7 @@
 
     private record Watching(String prefix, long after, CompletableFuture<StoreChanges> answer) {}
 
-    /** Whether commits wait, unanswered, until {@link #answerOne} is called. */
+    /** Whether commits wait, unanswered, until {@link #answerNext} is called. */
     boolean delaysCommits;
 
     /** How long a value may be. */
@@ -86,7 +86,7 @@
     }
 
     /** Puts bytes that are no text. */
-    void setNoText(String key) {
+    void setNonText(String key) {
         revision++;
         items.put(key, StoreItem.notText(key, revision, 0));
     }
@@ -110,7 +110,7 @@
     }
 
     /** Carries out the commit that has waited longest, and answers it; returns whether there was one. */
-    boolean answerOne() {
+    boolean answerNext() {
         Delayed d = delayed.poll();
         if (d != null) {
             d.answer.complete(carryOut(d.commit));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnedRecordsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
@@ -25,14 +25,14 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /** The two conditions of an owner's writes: without either, one of these tests fails. */
-class OwnedRecordsTest {
+class FencedRecordWriterTest {
 
     private static final String KEY = "record";
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
-    private final List<OwnedRecords.Outcome> outcomes = new ArrayList<>();
+    private final List<FencedRecordWriter.Outcome> outcomes = new ArrayList<>();
     private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
-    private final OwnedRecords records = new OwnedRecords(store, new DirectLoop(), "clips", fence);
+    private final FencedRecordWriter records = new FencedRecordWriter(store, new DirectLoop(), "clips", fence);
 
     private void write(String value) {
         records.write(Map.of(KEY, value), outcomes::add);
@@ -47,7 +47,7 @@
             store.set(JobKeys.owner("clips"), "entry-2");
             write("not mine any more");
             assertEquals("mine", store.value(KEY));
-            assertEquals(List.of(OwnedRecords.Outcome.SAVED, OwnedRecords.Outcome.NOT_OWNER), outcomes);
+            assertEquals(List.of(FencedRecordWriter.Outcome.SAVED, FencedRecordWriter.Outcome.NOT_OWNER), outcomes);
         }
 
         @Test
@@ -71,7 +71,7 @@
             write("new");
             store.carryOutHeld();
             assertEquals("new", store.value(KEY));
-            assertEquals(List.of(OwnedRecords.Outcome.RETRY, OwnedRecords.Outcome.SAVED), outcomes);
+            assertEquals(List.of(FencedRecordWriter.Outcome.RETRY, FencedRecordWriter.Outcome.SAVED), outcomes);
         }
 
         @Test
@@ -83,7 +83,7 @@
             write("second");
             write("second");
             assertEquals("second", store.value(KEY));
-            assertEquals(OwnedRecords.Outcome.SAVED, outcomes.get(2));
+            assertEquals(FencedRecordWriter.Outcome.SAVED, outcomes.get(2));
         }
     }
 
@@ -103,11 +103,11 @@
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY + i, "value"), () -> {});
             }
-            while (store.answerOne()) {
+            while (store.answerNext()) {
                 // One after the other, as the store answers.
             }
             assertEquals("value", store.value(KEY + 45));
-            assertEquals(1 + 45 / OwnedRecords.MOST_AT_ONCE, store.commits);
+            assertEquals(1 + 45 / FencedRecordWriter.MAX_RECORDS_PER_WRITE, store.commits);
         }
 
         @Test
@@ -116,7 +116,7 @@
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY, "value " + i), () -> {});
             }
-            while (store.answerOne()) {
+            while (store.answerNext()) {
                 // One after the other, as the store answers.
             }
             assertEquals("value 45", store.value(KEY));
@@ -139,12 +139,12 @@
                 String value = i == 2 ? "too long" : "short";
                 records.writeInOrder(Map.of(KEY + i, value), () -> {});
             }
-            for (int i = 0; i < 20 && store.answerOne(); i++) {
+            for (int i = 0; i < 20 && store.answerNext(); i++) {
                 // One after the other, as the store answers.
             }
             assertEquals("short", store.value(KEY + 3));
             assertEquals("", store.value(KEY + 2));
-            assertEquals(0, records.waiting());
+            assertEquals(0, records.pendingWrites());
         }
 
         @Test
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -60,7 +60,7 @@
         }
     }
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
         @Override
         public void won(String duty, long fence) {}
 
@@ -69,11 +69,11 @@
     }
 
     private FleetHost owner(String name) {
-        OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
+        OwnershipManager ownership = new OwnershipManager(store, loop, name, 1, new NoDuties());
         ownership.start();
-        passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.usual(2_000, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Entry entry = new FleetHost.Entry(
+        advance(STEP_MILLIS);
+        FleetTiming timing = FleetTiming.usual(2_000, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetHost.Context entry = new FleetHost.Context(
                 name,
                 store,
                 new Instances(),
@@ -82,16 +82,16 @@
                 ownership,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()));
         FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
+            loop.advance(STEP_MILLIS);
             store.tellWatches();
         }
     }
@@ -100,19 +100,19 @@
     void doesNotShortenTheWaitForAnEarlierOwnerThatLivesOn() {
         store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         FleetHost first = owner("entry-1");
-        passes(300);
+        advance(300);
         first.close();
         assertTrue(holders.contains("entry-1"));
         long last = orderedAt.get(orderedAt.size() - 1);
         int before = holders.size();
         FleetHost second = owner("entry-2");
-        passes(200);
+        advance(200);
         assertEquals(before, holders.size(), "it leaves the instance alone");
-        second.handOver(HandOver.OF_AN_ENTRY_THAT_ENDS);
-        passes(100);
+        second.handOver(HandOverReason.ENTRY_SHUTDOWN);
+        advance(100);
         second.close();
         owner("entry-3");
-        passes(6_000);
+        advance(6_000);
         assertEquals("entry-3", holders.get(before));
         long between = orderedAt.get(before) - last;
         assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms after the order of entry-1, which is alive");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -69,7 +69,7 @@
         }
     }
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
 
         @Override
         public void won(String duty, long fence) {}
@@ -85,11 +85,11 @@
     }
 
     private FleetHost owner(String name) {
-        OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
+        OwnershipManager ownership = new OwnershipManager(store, loop, name, 1, new NoDuties());
         ownership.start();
-        passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.usual(UPKEEP_MILLIS, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Entry entry = new FleetHost.Entry(
+        advance(STEP_MILLIS);
+        FleetTiming timing = FleetTiming.usual(UPKEEP_MILLIS, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetHost.Context entry = new FleetHost.Context(
                 name,
                 store,
                 instances,
@@ -98,16 +98,16 @@
                 ownership,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()));
         FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
+            loop.advance(STEP_MILLIS);
             store.tellWatches();
         }
     }
@@ -116,7 +116,7 @@
     private void ownersFollowEachOther(long eachMillis, String... names) {
         for (String n : names) {
             FleetHost host = owner(n);
-            passes(eachMillis);
+            advance(eachMillis);
             host.close();
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
@@ -48,14 +48,14 @@
         /** One write of an end got no answer and was not made. */
         @Test
         void comesAfterWhatWasHeardIsWritten() {
-            f.serves("w1");
+            f.startServing("w1");
             f.store.holdsCommits = true;
             f.ends("w1");
-            f.passes(30);
+            f.advance(30);
             f.node.stop();
-            f.passes(20);
+            f.advance(20);
             f.store.holdsCommits = false;
-            f.passes(1_000);
+            f.advance(1_000);
             assertTrue(f.saysOver(f.jobOn("w1")), "the next owner would run it again");
             assertFalse(f.owns("clips"));
         }
@@ -63,16 +63,16 @@
         /** The write was made and only its answer was lost: what lies in the store is newer than what was last known. */
         @Test
         void comesAfterAWriteWhoseAnswerWasLostIsKnownToBeMade() {
-            f.serves("w1", "w2");
+            f.startServing("w1", "w2");
             f.store.holdsCommits = true;
             f.ends("w1");
-            f.passes(30);
+            f.advance(30);
             f.store.carryOutHeld();
             f.ends("w2");
-            f.passes(30);
+            f.advance(30);
             f.node.stop();
             f.store.holdsCommits = false;
-            f.passes(1_000);
+            f.advance(1_000);
             assertTrue(f.saysOver(f.jobOn("w1")));
             assertTrue(f.saysOver(f.jobOn("w2")), "heard before the stop");
             assertFalse(f.owns("clips"));
@@ -81,17 +81,17 @@
         /** Its worker leaves within the 2 s of its notice: whoever follows may come too late to ask it. */
         @Test
         void comesAfterAnEndOfALeavingWorkerThatArrivesMeanwhile() {
-            f.serves("w1", "w2");
+            f.startServing("w1", "w2");
             f.lists("w2", true);
-            f.passes(600);
+            f.advance(600);
             f.store.holdsCommits = true;
             f.ends("w1");
-            f.passes(30);
+            f.advance(30);
             f.node.stop();
             f.ends("w2");
-            f.passes(60);
+            f.advance(60);
             f.store.holdsCommits = false;
-            f.passes(1_000);
+            f.advance(1_000);
             assertTrue(f.saysOver(f.jobOn("w2")), "it ended while the hand-over waited for the other write");
             assertFalse(f.owns("clips"));
         }
@@ -99,21 +99,21 @@
         /** What the next owner finds out by asking workers takes time; what begins now would be begun under both. */
         @Test
         void beginsNothingOnceItIsUnderWay() {
-            f.serves("w1");
+            f.startServing("w1");
             f.node.stop();
             f.lists("w2", false);
-            f.handsIn("late");
-            f.passes(2_000);
+            f.submit("late");
+            f.advance(2_000);
             assertEquals(1, f.workers.starts.size());
         }
 
         /** Nobody starts the callers' jobs meanwhile, and while the store answers nobody there is no use in waiting. */
         @Test
         void doesNotWaitForAStoreThatStaysAwayLongerThanTheEntryServesOn() {
-            f.serves("w1");
+            f.startServing("w1");
             f.ends("w1");
             f.store.holdsCommits = true;
-            f.passes(30);
+            f.advance(30);
             f.node.stop();
             assertTrue(f.untilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SERVE_ON_MILLIS);
         }
@@ -121,7 +121,7 @@
         /** Without anything to write a service has a free key as soon as before: what callers wait for is the next owner. */
         @Test
         void isImmediateWhenNothingIsUnwritten() {
-            f.serves("w1");
+            f.startServing("w1");
             f.node.stop();
             assertTrue(f.untilFree("clips", 1_000) <= 2 * NodeFixture.STEP_MILLIS);
         }
@@ -143,20 +143,20 @@
          */
         @Test
         void tellsOfOrdersWhoseRecordWasBeingWritten() {
-            f.serves("w1");
+            f.startServing("w1");
             ordersAnInstance();
             f.store.delaysCommits = true;
             for (int i = 0; i < 40 && !f.store.delaysRecentOrders(); i++) {
-                f.passes(NodeFixture.STEP_MILLIS);
+                f.advance(NodeFixture.STEP_MILLIS);
             }
             assertTrue(f.store.delaysRecentOrders(), "the order's record waits for its answer");
             f.node.stop();
-            f.passes(NodeFixture.STEP_MILLIS);
+            f.advance(NodeFixture.STEP_MILLIS);
             f.store.delaysCommits = false;
-            while (f.store.answerOne()) {
-                f.passes(NodeFixture.STEP_MILLIS);
+            while (f.store.answerNext()) {
+                f.advance(NodeFixture.STEP_MILLIS);
             }
-            f.passes(500);
+            f.advance(500);
             assertTrue(f.instances.orders.isEmpty(), "a stopping owner orders nothing");
             assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "nothing was ordered after all");
             assertFalse(f.owns(DUTY));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobQuestionsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -31,7 +31,7 @@
 import org.lupinpaddle.core.job.JobState;
 
 /** What operators are told of jobs, from the store alone. */
-class JobQuestionsTest {
+class JobCommandExecutorTest {
 
     private static final JobKey A = new JobKey("q", "a");
     private static final long WALL_MILLIS = 9_000;
@@ -40,9 +40,9 @@
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
-    private final JobQuestions questions =
-            new JobQuestions(store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
+    private final JobCommandExecutor questions = new JobCommandExecutor(
+            store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
 
     private List<String> answer(String words) {
         List<String> lines = new ArrayList<>();
@@ -56,7 +56,7 @@
         @Test
         void isListedWithWhatIsWrongWithIt() {
             store.set(JobKeys.job("clips", A), "{}");
-            store.setNoText(JobKeys.progress("clips", A));
+            store.setNonText(JobKeys.progress("clips", A));
             List<String> lines = answer("job list");
             assertEquals(2, lines.size(), lines.toString());
             assertTrue(lines.get(0).startsWith(JobKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -51,7 +51,7 @@
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
     private boolean reached = true;
     private final JobIntake intake = new JobIntake(store, loop, records, feed, () -> 0, () -> reached);
 
@@ -130,7 +130,7 @@
         void hasNoStateThatIsTold() {
             store.set(JOB, "{}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.setNoText(JobKeys.progress("clips", job));
+            store.setNonText(JobKeys.progress("clips", job));
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
             store.set(JobKeys.progress("clips", job), "{\"state\":\"DONE\"}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
@@ -138,7 +138,7 @@
 
         @Test
         void isNotTakenASecondTime() {
-            store.setNoText(JOB);
+            store.setNonText(JOB);
             long commits = store.commits;
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(commits + 1, store.commits);
@@ -146,7 +146,7 @@
 
         @Test
         void mayBeCancelled() {
-            store.setNoText(JOB);
+            store.setNonText(JOB);
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -265,7 +265,7 @@
             configure(2, "k1");
             store.tellWatches();
             configure(3, "k1", "k2");
-            loop.passes(1_000);
+            loop.advance(1_000);
             assertEquals(SubmitOutcome.ACCEPTED, submit("k2"));
         }
 
@@ -340,7 +340,7 @@
             store.tellWatches();
             store.holdsReads = true;
             long before = store.reads;
-            loop.passes(5_000);
+            loop.advance(5_000);
             for (int i = 0; i < 10; i++) {
                 var unused = intake.admit(request("k1"));
             }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetersTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
@@ -32,9 +32,9 @@
 import org.lupinpaddle.daemon.common.MetricsEndpoint;
 
 /** The figures of an entry, as a scraper reads them. */
-class JobMetersTest {
+class JobMetricsTest {
 
-    private final JobMeters meters = new JobMeters();
+    private final JobMetrics meters = new JobMetrics();
 
     private static SchedulerEvent event(SchedulerEvent.Kind kind, String outcome, long ageMillis) {
         return new SchedulerEvent(kind, new JobKey("clips", "a"), null, 0, "", outcome, "", ageMillis);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
@@ -35,9 +35,9 @@
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
-    private final OwnershipKeeper keeper = new OwnershipKeeper(store, loop, "entry-1", 1, new NoDuties());
+    private final OwnershipManager keeper = new OwnershipManager(store, loop, "entry-1", 1, new NoDuties());
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
 
         @Override
         public void won(String duty, long fence) {}
@@ -49,18 +49,18 @@
     @BeforeEach
     void aLeaseIsOpen() {
         keeper.start();
-        passes(SETTLED_MILLIS);
+        advance(SETTLED_MILLIS);
     }
 
     /** Lets time pass and returns whether the lease has lived all the while. */
-    private boolean passes(long millis) {
+    private boolean advance(long millis) {
         boolean lived = true;
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             while (!store.lostRenewals.isEmpty()) {
                 var lost = store.lostRenewals.remove();
                 loop.after(CALL_MILLIS, () -> lost.completeExceptionally(new TimeoutException()));
             }
-            loop.passes(STEP_MILLIS);
+            loop.advance(STEP_MILLIS);
             lived &= keeper.reachesStore();
         }
         return lived;
@@ -69,28 +69,28 @@
     @Test
     void livesThroughOneLostRenewal() {
         store.renewalsToLose = 1;
-        assertTrue(passes(LONG_MILLIS));
+        assertTrue(advance(LONG_MILLIS));
     }
 
     @Test
     void livesThroughThreeLostRenewalsInARow() {
         store.renewalsToLose = 3;
-        assertTrue(passes(LONG_MILLIS), "there is time for a fourth before it ends");
+        assertTrue(advance(LONG_MILLIS), "there is time for a fourth before it ends");
     }
 
     @Test
     void goesOnAfterTheStoreWasAway() {
         store.renewalsToLose = Integer.MAX_VALUE;
-        assertFalse(passes(LONG_MILLIS));
+        assertFalse(advance(LONG_MILLIS));
         store.renewalsToLose = 0;
-        passes(SETTLED_MILLIS);
-        assertTrue(passes(LONG_MILLIS));
+        advance(SETTLED_MILLIS);
+        assertTrue(advance(LONG_MILLIS));
     }
 
     @Test
     void isRenewedAFewTimesPerLeaseWhileAllIsWell() {
         int before = store.renewals;
-        assertTrue(passes(LONG_MILLIS));
+        assertTrue(advance(LONG_MILLIS));
         assertTrue(store.renewals - before <= LONG_MILLIS / RENEWED_EVERY_MILLIS + 1);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MembersTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -25,14 +25,14 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /** What is concluded from records of members, also where another writer has put something into their place. */
-class MembersTest {
+class MemberRegistryTest {
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final PrefixWatch watch =
-            new PrefixWatch(store, loop, JobKeys.MEMBERS, PrefixWatch.Listener.same(() -> {}));
-    private final Members members = new Members(watch, loop.clock(), "self", 500);
-    private final String life = Members.newLife("other");
+            new PrefixWatch(store, loop, JobKeys.MEMBERS, PrefixWatch.Listener.forAnyChange(() -> {}));
+    private final MemberRegistry members = new MemberRegistry(watch, loop.clock(), "self", 500);
+    private final String life = MemberRegistry.newLife("other");
 
     private boolean isOver(String registered) {
         store.set(JobKeys.entry("other"), registered);
@@ -41,8 +41,8 @@
 
     private boolean read() {
         watch.start();
-        loop.passes(1);
-        return members.isOver(life, Members.newLife("self"));
+        loop.advance(1);
+        return members.isOver(life, MemberRegistry.newLife("self"));
     }
 
     @Nested
@@ -51,15 +51,15 @@
         @Test
         void isOverOnceItsEntryIsRegisteredWithAnother() {
             assertFalse(isOver(life));
-            assertTrue(isOver(Members.newLife("other")));
+            assertTrue(isOver(MemberRegistry.newLife("other")));
         }
 
         @Test
         void isNotOverByWhatNamesNoLifeOfItsEntry() {
             assertFalse(isOver(""));
             assertFalse(isOver("{}"));
-            assertFalse(isOver(Members.newLife("third")));
-            store.setNoText(JobKeys.entry("other"));
+            assertFalse(isOver(MemberRegistry.newLife("third")));
+            store.setNonText(JobKeys.entry("other"));
             assertFalse(read());
         }
     }
@@ -69,7 +69,7 @@
 
         @Test
         void isOwnedAlsoWhereItsOwnerCanNotBeRead() {
-            store.setNoText(JobKeys.owner("clips"));
+            store.setNonText(JobKeys.owner("clips"));
             store.set(JobKeys.owner("archive"), "");
             read();
             assertEquals(Set.of("clips", "archive"), members.owners().keySet());
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -148,12 +148,12 @@
                         instances,
                         bounds,
                         loop.clock(),
-                        new JobMeters()));
+                        new JobMetrics()));
     }
 
-    void passes(long millis) {
+    void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
+            loop.advance(STEP_MILLIS);
             store.tellWatches();
         }
     }
@@ -165,11 +165,11 @@
         store.set("worker/" + worker, RecordCodec.write(w));
     }
 
-    void handsIn(String id) {
-        handsIn(id, StepSpec.builder(1, new StepSpec.Need(1_000, 1, 0)).build());
+    void submit(String id) {
+        submit(id, StepSpec.builder(1, new StepSpec.Need(1_000, 1, 0)).build());
     }
 
-    void handsIn(String id, StepSpec... steps) {
+    void submit(String id, StepSpec... steps) {
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobKey key = new JobKey("q", id);
         JobSpec spec = new JobSpec(key, "clips", "text", List.of(steps), Repeat.ONCE, policy, 0);
@@ -177,7 +177,7 @@
     }
 
     /** The node owns the service and the fleet, and a task runs on each of the workers. */
-    void serves(String... ids) {
+    void startServing(String... ids) {
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         List<QueueConfig> queues = List.of(new QueueConfig("q", "host", "/q/", "clips", policy));
         List<ServiceConfig> services =
@@ -185,10 +185,10 @@
         store.set(FakeRecords.CONFIGURATION, RecordCodec.write(new JobConfiguration(1, queues, services, 1 << 18)));
         for (String w : ids) {
             lists(w, false);
-            handsIn("job-" + w);
+            submit("job-" + w);
         }
         node.start();
-        passes(2_000);
+        advance(2_000);
         assertEquals(ids.length, workers.starts.size(), "one task runs on each worker");
     }
 
@@ -218,7 +218,7 @@
     long untilFree(String duty, long mostMillis) {
         long begun = loop.clock().millis();
         while (owns(duty) && loop.clock().millis() - begun < mostMillis) {
-            passes(STEP_MILLIS);
+            advance(STEP_MILLIS);
         }
         return loop.clock().millis() - begun;
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipKeeperTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
@@ -26,7 +26,7 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /** A duty is held under one fence from its taking to its end, and under a greater one after that. */
-class OwnershipKeeperTest {
+class OwnershipManagerTest {
 
     private static final long SOON_MILLIS = 3_000;
     private static final long TELL_MILLIS = 50;
@@ -34,9 +34,9 @@
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Long> fences = new ArrayList<>();
-    private final OwnershipKeeper keeper = new OwnershipKeeper(store, loop, "entry", 1_000, new Listener());
+    private final OwnershipManager keeper = new OwnershipManager(store, loop, "entry", 1_000, new Listener());
 
-    private final class Listener implements OwnershipKeeper.Listener {
+    private final class Listener implements OwnershipManager.Listener {
         @Override
         public void won(String duty, long fence) {
             fences.add(fence);
@@ -46,9 +46,9 @@
         public void lost(String duty, String why) {}
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= TELL_MILLIS) {
-            loop.passes(TELL_MILLIS);
+            loop.advance(TELL_MILLIS);
             store.tellWatches();
         }
     }
@@ -56,7 +56,7 @@
     private void ownsClips() {
         keeper.start();
         keeper.setDuties(Set.of("clips"));
-        passes(SOON_MILLIS);
+        advance(SOON_MILLIS);
         assertEquals(1, fences.size());
     }
 
@@ -69,7 +69,7 @@
         void hasAGreaterFence() {
             ownsClips();
             keeper.giveUp("clips", fences.get(0), "a worker refused an order");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(2, fences.size());
             assertTrue(fences.get(1) > fences.get(0));
             assertEquals(
@@ -82,7 +82,7 @@
             ownsClips();
             keeper.giveUp("clips", fences.get(0), "a worker refused an order");
             store.set(JobKeys.owner("clips"), "another entry");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(1, fences.size());
         }
     }
@@ -93,13 +93,13 @@
         @Test
         void isWonWithTheRevisionOfThatWrite() {
             keeper.start();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.holdsCommits = true;
             keeper.setDuties(Set.of("clips"));
-            passes(150);
+            advance(150);
             store.holdsCommits = false;
             store.carryOutHeld();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(
                     List.of(store.read(JobKeys.owner("clips"))
                             .join()
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaKeeperTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
@@ -33,20 +33,20 @@
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /** Tests the quota grants that a service owner writes to an in-memory store. */
-class QuotaKeeperTest {
+class QuotaManagerTest {
 
     private static final Room TASK = new Room(1_000, 0, 0);
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Workspace> workspaces = new ArrayList<>();
-    private final QuotaKeeper keeper = keeper();
+    private final QuotaManager keeper = keeper();
 
-    private QuotaKeeper keeper() {
+    private QuotaManager keeper() {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         long revision = store.set(FakeRecords.CONFIGURATION, "any");
         NodeFixture.Instances instances = new NodeFixture.Instances();
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
+        SchedulerHost.Context entry = new SchedulerHost.Context(
                 store,
                 new NodeFixture().workers,
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -55,11 +55,11 @@
                 () -> true,
                 loop.clock(),
                 SchedulerTiming.usual(5_000, 300, 12_000),
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(
                         FakeRecords.CONFIGURATION, revision, true, new Workspaces(List.copyOf(workspaces), List.of())));
-        return new QuotaKeeper(entry, "clips", fence, () -> {});
+        return new QuotaManager(entry, "clips", fence, () -> {});
     }
 
     private void addLimitedWorkspace(String workspace, long cpuMillis) {
@@ -75,7 +75,7 @@
     private void runKeeper() {
         for (int i = 0; i < 10; i++) {
             keeper.run();
-            loop.passes(10);
+            loop.advance(10);
         }
     }
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EarlierJobsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
@@ -31,7 +31,7 @@
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.TaskRecord;
 
-class EarlierJobsTest {
+class RecoveredJobsTest {
 
     private static final JobKey OVER = new JobKey("q", "over");
     private static final JobKey LIVE = new JobKey("q", "live");
@@ -39,9 +39,9 @@
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final DirectLoop loop = new DirectLoop();
     private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
-    private final UnreadableEntries unreadable = new UnreadableEntries(new JobMeters());
-    private final EarlierJobs jobs =
-            new EarlierJobs(new OwnedRecords(store, loop, "clips", fence), loop, "clips", unreadable);
+    private final UnreadableEntries unreadable = new UnreadableEntries(new JobMetrics());
+    private final RecoveredJobs jobs =
+            new RecoveredJobs(new FencedRecordWriter(store, loop, "clips", fence), loop, "clips", unreadable);
 
     @BeforeEach
     void read() {
@@ -61,19 +61,19 @@
 
         @Test
         void needNotBeRead() {
-            assertTrue(jobs.isOver(OVER));
-            assertTrue(jobs.isOver(OVER), "nor when its record is seen again");
+            assertTrue(jobs.isFinished(OVER));
+            assertTrue(jobs.isFinished(OVER), "nor when its record is seen again");
         }
 
         @Test
         void stayOverUntilItsRecordsAreGoneForCertain() {
             assertNotNull(jobs.takeProgress(OVER), "a scheduler had taken it, and has let it go now");
             store.holdsCommits = true;
-            jobs.forget(List.of(OVER));
-            assertTrue(jobs.isOver(OVER), "the store has not answered; its record may be read again");
+            jobs.removeExpired(List.of(OVER));
+            assertTrue(jobs.isFinished(OVER), "the store has not answered; its record may be read again");
             store.holdsCommits = false;
-            jobs.forget(List.of());
-            assertFalse(jobs.isOver(OVER));
+            jobs.removeExpired(List.of());
+            assertFalse(jobs.isFinished(OVER));
             assertEquals("", store.value(JobKeys.job("clips", OVER)));
         }
     }
@@ -83,7 +83,7 @@
 
         @Test
         void isHandedOnThoughItHasEnded() {
-            assertFalse(jobs.isOver(LIVE), "its task must still be stopped");
+            assertFalse(jobs.isFinished(LIVE), "its task must still be stopped");
             assertNotNull(jobs.takeProgress(LIVE));
         }
     }
@@ -100,10 +100,11 @@
                     JobKeys.progress("clips", COUNTED),
                     "{\"state\":\"RUNNING\",\"tasks\":[[0,0,0,3,0,false,\"w1\",\"\",-2]],\"reason\":\"\",\"changedMillis\":0}");
             jobs.read(store.range(JobKeys.progress("clips")).join());
-            assertFalse(jobs.isUnread(COUNTED));
-            assertEquals(1, unreadable.now().size());
+            assertFalse(jobs.isUnreadable(COUNTED));
+            assertEquals(1, unreadable.snapshot().size());
             assertEquals(
-                    "out-of-range:tasks.crashes", unreadable.now().get(0).why().toString());
+                    "out-of-range:tasks.crashes",
+                    unreadable.snapshot().get(0).why().toString());
         }
     }
 }
