--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -68,7 +68,7 @@
     private SchedulerHost owner() {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, INHERITED_MILLIS, 2_000, 10_000);
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
+        SchedulerHost.Context entry = new SchedulerHost.Context(
                 store,
                 new NoWorkers(),
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -77,11 +77,11 @@
                 () -> true,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
         WorkerFeed workers =
-                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMeters()), () -> {});
+                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
         SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
@@ -102,9 +102,9 @@
         store.set(JobKeys.cancel("clips", key(id)), id);
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
-            loop.passes(50);
+            loop.advance(50);
             store.tellWatches();
         }
     }
@@ -143,7 +143,7 @@
                 cancel("job-" + i);
             }
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             for (int i = 0; i < JOBS; i++) {
                 assertTrue(progress("job-" + i).over());
             }
@@ -156,7 +156,7 @@
             accept("live");
             String whole = record("live");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("live"));
         }
 
@@ -165,13 +165,13 @@
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             first.close();
             String last = store.value(JobKeys.progress("clips", key("a")));
             store.set(JobKeys.job("clips", key("lonely")), SMALL);
             cancel("lonely");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(last, store.value(JobKeys.progress("clips", key("a"))));
             assertEquals("", store.value(JobKeys.progress("clips", key("lonely"))));
         }
@@ -181,12 +181,12 @@
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             first.close();
             owner();
-            passes(KEPT_MILLIS - SOON_MILLIS);
+            advance(KEPT_MILLIS - SOON_MILLIS);
             assertEquals(3, readByASuccessor().size(), "callers may still ask");
-            passes(4 * SOON_MILLIS);
+            advance(4 * SOON_MILLIS);
             assertEquals(List.of(), readByASuccessor());
         }
     }
@@ -197,8 +197,8 @@
         private void keepsAllAsItIs() {
             List<StoreItem> before = readByASuccessor();
             owner();
-            passes(SOON_MILLIS);
-            passes(2 * INHERITED_MILLIS);
+            advance(SOON_MILLIS);
+            advance(2 * INHERITED_MILLIS);
             assertEquals(Set.copyOf(before), Set.copyOf(readByASuccessor()));
         }
 
@@ -212,14 +212,14 @@
         @Test
         void ofBytesIsNeitherTakenForNoneNorOverwritten() {
             accept("a");
-            store.setNoText(JobKeys.progress("clips", key("a")));
+            store.setNonText(JobKeys.progress("clips", key("a")));
             keepsAllAsItIs();
         }
 
         @Test
         void ofAJobIsNotOverwritten() {
             store.set(JobKeys.job("clips", key("a")), "{\"key\":3}");
-            store.setNoText(JobKeys.job("clips", key("b")));
+            store.setNonText(JobKeys.job("clips", key("b")));
             keepsAllAsItIs();
         }
 
@@ -235,10 +235,10 @@
         void holdsUpNoOtherJob() {
             accept("a");
             accept("b");
-            store.setNoText(JobKeys.progress("clips", key("a")));
+            store.setNonText(JobKeys.progress("clips", key("a")));
             cancel("b");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertTrue(progress("b").over());
         }
 
@@ -249,13 +249,13 @@
             JobProgress done =
                     new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 1, false, "", "")), "", 0);
             store.set(JobKeys.progress("clips", key("a")), RecordCodec.write(done));
-            store.setNoText(JobKeys.job("clips", key("a")));
+            store.setNonText(JobKeys.job("clips", key("a")));
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.set(JobKeys.job("clips", key("a")), good);
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             cancel("a");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertTrue(progress("a").over());
         }
     }
@@ -267,13 +267,13 @@
         void isSmallInTheSameWriteThatSaysThatTheJobIsOver() {
             accept("a");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.holdsCommits = true;
             cancel("a");
-            passes(100);
+            advance(100);
             assertFalse(record("a").equals(SMALL));
             store.holdsCommits = false;
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertTrue(progress("a").over());
             assertEquals(SMALL, record("a"));
         }
@@ -287,10 +287,10 @@
                     JobKeys.progress("clips", key("a")),
                     RecordCodec.write(new JobProgress(JobState.CANCELLED, List.of(held), "", 0)));
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
             assertFalse(progress("a").over());
-            passes(2 * INHERITED_MILLIS);
+            advance(2 * INHERITED_MILLIS);
             assertTrue(progress("a").over());
             assertEquals(SMALL, record("a"));
         }
@@ -300,10 +300,10 @@
             accept("a");
             String whole = record("a");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.set(JobKeys.owner("clips"), "another entry");
             cancel("a");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
         }
 
@@ -312,9 +312,9 @@
             accept("a");
             cancel("a");
             owner();
-            passes(KEPT_MILLIS - SOON_MILLIS);
+            advance(KEPT_MILLIS - SOON_MILLIS);
             assertEquals(3, readByASuccessor().size(), "callers may still ask");
-            passes(4 * SOON_MILLIS);
+            advance(4 * SOON_MILLIS);
             assertEquals(List.of(), readByASuccessor());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OldAnswerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
@@ -34,7 +34,7 @@
  * while tasks ran on it. The log shows {@code errand-begun} and {@code errand-ordered} within one tick, and no
  * {@code worker-emptied} between them.
  */
-class OldAnswerTest {
+class StaleEvacuationAnswerTest {
 
     private static final long LIST_MILLIS = 600;
 
@@ -44,7 +44,7 @@
         boolean unknown = state == PlatformInstance.State.UNKNOWN;
         PlatformInstance i = new PlatformInstance("m1", "clips", state, "north", "w1");
         f.instances.all = List.of(unknown ? PlatformInstance.unknown("m1") : i);
-        f.passes(LIST_MILLIS);
+        f.advance(LIST_MILLIS);
     }
 
     private String requestFor(String worker) {
@@ -59,24 +59,24 @@
 
     @Test
     void isNotTakenForTheAnswerToANewRequest() {
-        f.serves("w1");
+        f.startServing("w1");
         lists(PlatformInstance.State.UP);
         f.store.set("wave/1", RecordCodec.write(new UpkeepWave(1, List.of("m1"), 60_000, 2)));
-        f.passes(200);
+        f.advance(200);
         assertFalse(requestFor("w1").isEmpty(), "the worker is asked to be empty");
         lists(PlatformInstance.State.UNKNOWN);
         f.ends("w1");
-        f.passes(200);
+        f.advance(200);
         assertTrue(saysEmpty("w1"));
         f.store.silentPrefix = JobKeys.fleet();
         lists(PlatformInstance.State.DOWN);
         assertTrue(requestFor("w1").isEmpty(), "the errand is over");
-        f.handsIn("next");
-        f.passes(LIST_MILLIS);
+        f.submit("next");
+        f.advance(LIST_MILLIS);
         assertEquals(2, f.workers.starts.size(), "the worker has work again");
         lists(PlatformInstance.State.UP);
         assertFalse(saysEmpty("w1"), "asked anew, and at work");
-        f.passes(2 * LIST_MILLIS);
+        f.advance(2 * LIST_MILLIS);
         assertEquals(0, f.instances.orders.size(), "its order ends what runs there");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/TimedLoop.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/TimedLoop.java
@@ -31,7 +31,7 @@
     private record Step(long at, long number, Runnable what) {}
 
     /** Lets a time pass. */
-    void passes(long millis) {
+    void advance(long millis) {
         long until = now + millis;
         while (!steps.isEmpty() && steps.peek().at <= until) {
             Step next = steps.remove();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnheardCancellationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
@@ -29,7 +29,7 @@
  * the owner started the job's next step by it, seconds after the cancellation was answered: {@code TASK_PLACED} of step 1
  * stands 1 s after the store's return in the log, and no {@code JOB_ENDED} before it.
  */
-class UnheardCancellationTest {
+class UnseenCancellationTest {
 
     /** So long after its answer a cancellation is in force. */
     private static final long CANCEL_MILLIS = 3_000;
@@ -38,7 +38,7 @@
 
     private void ofTwoSteps(String job) {
         StepSpec.Need need = new StepSpec.Need(1_000, 1, 0);
-        f.handsIn(
+        f.submit(
                 job,
                 StepSpec.builder(1, need).build(),
                 StepSpec.builder(1, need).after(List.of(0)).build());
@@ -46,32 +46,32 @@
 
     @Test
     void ofAJobWhoseNextStepComesLaterStartsNothing() {
-        f.serves("w1");
+        f.startServing("w1");
         f.lists("w2", false);
         ofTwoSteps("two");
-        f.passes(500);
+        f.advance(500);
         assertEquals(2, f.workers.starts.size());
         f.store.silentPrefix = JobKeys.inputs("clips");
         f.store.set(JobKeys.cancel("clips", new JobKey("q", "two")), "cancelled");
-        f.passes(CANCEL_MILLIS);
+        f.advance(CANCEL_MILLIS);
         f.ends("w2");
-        f.passes(2_000);
+        f.advance(2_000);
         assertEquals(2, f.workers.starts.size(), "its owner can not know that it goes on");
     }
 
     /** The wait ends with the news. */
     @Test
     void ofAnotherJobKeepsNothingBackOnceTheNewsIsThere() {
-        f.serves("w1");
+        f.startServing("w1");
         f.lists("w2", false);
         ofTwoSteps("two");
-        f.passes(500);
+        f.advance(500);
         f.store.silentPrefix = JobKeys.inputs("clips");
-        f.passes(CANCEL_MILLIS);
+        f.advance(CANCEL_MILLIS);
         f.ends("w2");
-        f.passes(500);
+        f.advance(500);
         f.store.silentPrefix = "";
-        f.passes(500);
+        f.advance(500);
         assertEquals(3, f.workers.starts.size(), "the second step runs");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
@@ -35,7 +35,7 @@
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
-    private final JobMeters meters = new JobMeters();
+    private final JobMetrics meters = new JobMetrics();
     private final UnreadableEntries unreadable = new UnreadableEntries(meters);
     private final WorkerFeed feed = new WorkerFeed(store, loop, new FakeRecords(), unreadable, () -> {});
 
@@ -53,15 +53,15 @@
 
     private void started() {
         feed.start();
-        passes();
+        advance();
     }
 
-    private void passes() {
+    private void advance() {
         for (int i = 0; i < 10; i++) {
-            loop.passes(50);
+            loop.advance(50);
             store.tellWatches();
         }
-        loop.passes(50);
+        loop.advance(50);
     }
 
     private Set<String> listed() {
@@ -78,7 +78,7 @@
         @Test
         void thatWasThereBeforeNamesNoWorker() {
             store.set("worker/a-first", BAD);
-            store.setNoText("worker/b-second");
+            store.setNonText("worker/b-second");
             started();
             assertEquals(Set.of("w1", "w2"), listed());
             assertEquals(2, counted());
@@ -88,30 +88,30 @@
         void thatReplacesAGoodOneTakesItsWorkerOffTheList() {
             started();
             store.set("worker/w1", BAD);
-            passes();
+            advance();
             assertEquals(Set.of("w2"), listed());
         }
 
         @Test
         void thatIsReplacedByAGoodOneIsForgotten() {
             started();
-            store.setNoText("worker/w1");
-            passes();
+            store.setNonText("worker/w1");
+            advance();
             good("w1");
-            passes();
+            advance();
             assertEquals(Set.of("w1", "w2"), listed());
-            assertEquals(List.of(), unreadable.now());
+            assertEquals(List.of(), unreadable.snapshot());
         }
 
         @Test
         void thatIsRemovedIsForgotten() {
             started();
             store.set("worker/w1", BAD);
-            passes();
+            advance();
             store.remove("worker/w1");
-            passes();
+            advance();
             assertEquals(Set.of("w2"), listed());
-            assertEquals(List.of(), unreadable.now());
+            assertEquals(List.of(), unreadable.snapshot());
         }
 
         @Test
@@ -119,7 +119,7 @@
             started();
             store.set("worker/w1", BAD);
             good("w3");
-            passes();
+            advance();
             assertEquals(Set.of("w2", "w3"), listed());
         }
 
@@ -128,11 +128,11 @@
             started();
             for (int i = 0; i < 5; i++) {
                 store.set("worker/w1", BAD);
-                passes();
+                advance();
             }
             assertEquals(1, counted());
-            store.setNoText("worker/w1");
-            passes();
+            store.setNonText("worker/w1");
+            advance();
             assertEquals(2, counted());
         }
     }
@@ -143,11 +143,11 @@
         @Test
         void noneIsListedUntilOneIsGood() {
             store.set("worker/w1", BAD);
-            store.setNoText("worker/w2");
+            store.setNonText("worker/w2");
             started();
             assertEquals(Set.of(), listed());
             good("w2");
-            passes();
+            advance();
             assertEquals(Set.of("w2"), listed());
         }
     }
@@ -164,7 +164,7 @@
             }
             started();
             assertEquals(MANY, counted());
-            assertEquals(1_000, unreadable.now().size());
+            assertEquals(1_000, unreadable.snapshot().size());
             assertEquals(Set.of("w1", "w2"), listed());
         }
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimEntry.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimEntry.java
@@ -17,7 +17,7 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.daemon.jobs.JobMeters;
+import org.lupinpaddle.daemon.jobs.JobMetrics;
 import org.lupinpaddle.daemon.jobs.JobNode;
 import org.lupinpaddle.daemon.settings.JobSettings;
 
@@ -62,7 +62,7 @@
                         new SimInstancePort(world, in),
                         bounds,
                         () -> World.EPOCH + world.time.now(),
-                        new JobMeters()));
+                        new JobMetrics()));
     }
 
     void start() {
