--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -110,11 +110,11 @@
     }
 
     /** Takes a while for the pages of a prefix, since an answer was lost; for the empty one it is slow in all. */
-    private final class SlowFor implements KeyValueStore {
+    private final class SlowStore implements KeyValueStore {
         private final String prefix;
         private final long millis;
 
-        private SlowFor(String prefix, long millis) {
+        private SlowStore(String prefix, long millis) {
             this.prefix = prefix;
             this.millis = millis;
         }
@@ -168,8 +168,8 @@
     private SchedulerHost owner(String slowPrefix, long slowMillis) {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, 7_000, 2_000, 10_000);
-        SchedulerHost.Context entry = new SchedulerHost.Context(
-                new SlowFor(slowPrefix, slowMillis),
+        SchedulerHost.Context context = new SchedulerHost.Context(
+                new SlowStore(slowPrefix, slowMillis),
                 orders,
                 order -> CompletableFuture.completedFuture(Optional.empty()),
                 new NoInstances(),
@@ -184,7 +184,7 @@
                 new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
         workers.start();
         advance(50);
-        SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
+        SchedulerHost host = new SchedulerHost(context, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
     }
@@ -192,17 +192,17 @@
     private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
             loop.advance(50);
-            store.tellWatches();
+            store.notifyWatches();
         }
     }
 
-    private void anEmptiedWorkerAndAJobThatWaits() {
-        aWorkerAndAJob();
+    private void addEmptiedWorkerAndPendingJob() {
+        addWorkerAndJob();
         EvacuationRecord emptied = new EvacuationRecord("w1", "m1", "MOVE:spare", true, true);
         store.set(JobKeys.evacuation("clips", "w1"), RecordCodec.write(emptied));
     }
 
-    private void aWorkerAndAJob() {
+    private void addWorkerAndJob() {
         WorkerFacts w =
                 new WorkerFacts("w1", "clips", "at-w1", "north", false, 0, new Room(4_000, 8_000, 0), List.of("rack"));
         store.set("worker/w1", RecordCodec.write(w));
@@ -214,24 +214,24 @@
     }
 
     @Test
-    void getsNothingFromASuccessorThatKnowsOfTheRequest() {
-        anEmptiedWorkerAndAJobThatWaits();
+    void getsNoTaskFromASuccessorThatHasReadTheRequest() {
+        addEmptiedWorkerAndPendingJob();
         owner(JobKeys.evacuations("clips"), 0);
         advance(1_000);
         assertEquals(List.of(), orders.startedOn);
     }
 
     @Test
-    void getsNothingFromASuccessorBeforeItHasReadTheRequests() {
-        anEmptiedWorkerAndAJobThatWaits();
+    void getsNoTaskBeforeTheSuccessorHasReadTheRequests() {
+        addEmptiedWorkerAndPendingJob();
         owner(JobKeys.evacuations("clips"), 300);
         advance(1_000);
         assertTrue(orders.startedOn.isEmpty(), "its instance may be ordered away at any moment: it was called empty");
     }
 
     @Test
-    void getsNothingFromASuccessorWhoseStoreIsSlow() {
-        anEmptiedWorkerAndAJobThatWaits();
+    void getsNoTaskFromASuccessorWithASlowStore() {
+        addEmptiedWorkerAndPendingJob();
         owner("", 250);
         advance(3_000);
         assertTrue(orders.startedOn.isEmpty(), "it was chosen before the requests were read, and started after");
@@ -239,8 +239,8 @@
 
     /** Its worker drains, and may be gone before the next owner has asked it; one write of its end is lost. */
     @Test
-    void anEndThatWasHeardIsWrittenBeforeItsOwnerHandsTheServiceOver() {
-        aWorkerAndAJob();
+    void receivedResultIsWrittenAfterTheHostCloses() {
+        addWorkerAndJob();
         SchedulerHost host = owner(JobKeys.evacuations("clips"), 0);
         TaskId first = new TaskId(0, 0, 0);
         orders.running = List.of(new RunningReport("a", first, 1, "", 50, -1));
@@ -248,9 +248,9 @@
         assertEquals(List.of("w1"), orders.startedOn);
         orders.running = List.of();
         orders.ended = List.of(new EndReport(1, "a", first, 1, EndKind.DONE, ""));
-        store.holdsCommits = true;
+        store.dropsCommitAnswers = true;
         loop.advance(30);
-        store.holdsCommits = false;
+        store.dropsCommitAnswers = false;
         host.close();
         advance(1_000);
         JobProgress left = RecordCodec.read(
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
@@ -28,7 +28,7 @@
 class EvacuationFeedTest {
 
     private static final String KEY = JobKeys.evacuation("clips", "w1");
-    private static final String ASKED = RecordCodec.write(new EvacuationRecord("w1", "m1", "UPKEEP:1", false, false));
+    private static final String REQUEST = RecordCodec.write(new EvacuationRecord("w1", "m1", "UPKEEP:1", false, false));
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
@@ -45,83 +45,83 @@
                 wanted.addAll(workers);
             });
 
-    private boolean saysEmpty() {
+    private boolean isReportedEmpty() {
         return EvacuationRecord.read(store.value(KEY), "w1").get().empty();
     }
 
     @Nested
-    class ARequestThatCanNotBeRead {
+    class UnreadableRequest {
 
         private static final String BAD = "{\"worker\":1}";
 
         @Test
-        void asksForNothing() {
+        void isIgnored() {
             store.set(KEY, BAD);
             feed.start();
             assertEquals(Set.of(), wanted);
         }
 
         @Test
-        void doesNotTakeBackTheOneThatStoodThereAndIsNotAnswered() {
-            store.set(KEY, ASKED);
+        void keepsThePreviousRequestAndIsNotAnswered() {
+            store.set(KEY, REQUEST);
             feed.start();
             store.set(KEY, BAD);
-            store.tellWatches();
+            store.notifyWatches();
             assertEquals(Set.of("w1"), wanted);
             feed.answerEmpty("w1");
             assertEquals(BAD, store.value(KEY));
-            store.set(KEY, ASKED);
-            store.tellWatches();
+            store.set(KEY, REQUEST);
+            store.notifyWatches();
             feed.answerEmpty("w1");
-            assertEquals(true, saysEmpty());
+            assertEquals(true, isReportedEmpty());
         }
 
         @Test
-        void isGoneOnceItsEntryIs() {
-            store.set(KEY, ASKED);
+        void endsWithTheRemovalOfItsKey() {
+            store.set(KEY, REQUEST);
             feed.start();
             store.set(KEY, BAD);
-            store.tellWatches();
+            store.notifyWatches();
             store.remove(KEY);
-            store.tellWatches();
+            store.notifyWatches();
             assertEquals(Set.of(), wanted);
         }
 
         @Test
-        void underTheKeyOfAnotherWorkerAsksForNothing() {
-            store.set(JobKeys.evacuation("clips", "w2"), ASKED);
+        void underTheKeyOfAnotherWorkerIsIgnored() {
+            store.set(JobKeys.evacuation("clips", "w2"), REQUEST);
             feed.start();
             assertEquals(Set.of(), wanted);
         }
     }
 
     @Nested
-    class AnAnswer {
+    class Answer {
 
         @Test
         void isWrittenOnce() {
-            store.set(KEY, ASKED);
+            store.set(KEY, REQUEST);
             feed.start();
             assertEquals(Set.of("w1"), wanted);
             feed.answerEmpty("w1");
-            assertEquals(true, saysEmpty());
+            assertEquals(true, isReportedEmpty());
             String answer = store.value(KEY);
-            store.tellWatches();
+            store.notifyWatches();
             feed.answerEmpty("w1");
             assertEquals(answer, store.value(KEY));
         }
 
         @Test
-        void isGivenAgainWhenTheRequestIsWrittenAgain() {
-            store.set(KEY, ASKED);
+        void isRepeatedForARepeatedRequest() {
+            store.set(KEY, REQUEST);
             feed.start();
             feed.answerEmpty("w1");
-            store.tellWatches();
+            store.notifyWatches();
             // The owner of the fleet got no answer to its first write, and writes the request again.
-            store.set(KEY, ASKED);
-            store.tellWatches();
+            store.set(KEY, REQUEST);
+            store.notifyWatches();
             feed.answerEmpty("w1");
-            assertEquals(true, saysEmpty());
+            assertEquals(true, isReportedEmpty());
         }
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
@@ -37,22 +37,22 @@
 final class FakeKeyValueStore implements KeyValueStore {
 
     /** What a call takes at most: conditions, puts and removals together. */
-    private static final int MOST_ROWS = 32;
+    private static final int MAX_ROWS = 32;
 
     private final Map<String, StoreItem> items = new HashMap<>();
-    private final List<StoreCommit> held = new ArrayList<>();
-    private final Map<String, Long> gone = new HashMap<>();
-    private final List<Watching> watching = new ArrayList<>();
+    private final List<StoreCommit> droppedCommits = new ArrayList<>();
+    private final Map<String, Long> removedAt = new HashMap<>();
+    private final List<PendingWatch> pendingWatches = new ArrayList<>();
     private long revision;
     private long leases;
 
-    private record Watching(String prefix, long after, CompletableFuture<StoreChanges> answer) {}
+    private record PendingWatch(String prefix, long after, CompletableFuture<StoreChanges> answer) {}
 
     /** Whether commits wait, unanswered, until {@link #answerNext} is called. */
     boolean delaysCommits;
 
     /** How long a value may be. */
-    int mostValueLength = Integer.MAX_VALUE;
+    int maxValueLength = Integer.MAX_VALUE;
 
     /** How many commits have been asked for. */
     int commits;
@@ -61,7 +61,7 @@
     int reads;
 
     /** Whether reads of a single key stay unanswered. */
-    boolean holdsReads;
+    boolean dropsReads;
 
     /** How many renewals of leases have been asked for. */
     int renewals;
@@ -77,7 +77,7 @@
     private record Delayed(StoreCommit commit, CompletableFuture<CommitResult> answer) {}
 
     /** Whether commits get no answer, and are kept to be carried out later. */
-    boolean holdsCommits;
+    boolean dropsCommitAnswers;
 
     long set(String key, String value) {
         revision++;
@@ -91,11 +91,11 @@
         items.put(key, StoreItem.notText(key, revision, 0));
     }
 
-    /** Removes an item; watches are told with the next change. */
+    /** Removes an item; watches are answered with the next change. */
     void remove(String key) {
         revision++;
         items.remove(key);
-        gone.put(key, revision);
+        removedAt.put(key, revision);
     }
 
     String value(String key) {
@@ -104,22 +104,22 @@
     }
 
     /** Carries out the commits that were kept, if their conditions still hold. */
-    void carryOutHeld() {
-        held.forEach(this::carryOut);
-        held.clear();
+    void applyDroppedCommits() {
+        droppedCommits.forEach(this::apply);
+        droppedCommits.clear();
     }
 
     /** Carries out the commit that has waited longest, and answers it; returns whether there was one. */
     boolean answerNext() {
         Delayed d = delayed.poll();
         if (d != null) {
-            d.answer.complete(carryOut(d.commit));
+            d.answer.complete(apply(d.commit));
         }
         return d != null;
     }
 
     /** Returns whether a write of the fleet's newest orders waits for its answer. */
-    boolean delaysRecentOrders() {
+    boolean hasDelayedRecentOrders() {
         return delayed.stream()
                 .anyMatch(d -> d.commit.puts().stream().anyMatch(p -> p.key().equals(JobKeys.recentOrders())));
     }
@@ -132,16 +132,16 @@
             delayed.add(d);
             return d.answer;
         }
-        if (holdsCommits) {
-            held.add(c);
+        if (dropsCommitAnswers) {
+            droppedCommits.add(c);
             return CompletableFuture.completedFuture(new CommitResult(CommitResult.Outcome.UNKNOWN, 0, List.of()));
         }
-        return CompletableFuture.completedFuture(carryOut(c));
+        return CompletableFuture.completedFuture(apply(c));
     }
 
-    private CommitResult carryOut(StoreCommit c) {
-        boolean tooLong = c.conditions().size() + c.puts().size() + c.removals().size() > MOST_ROWS;
-        if (tooLong || c.puts().stream().anyMatch(p -> p.value().length() > mostValueLength)) {
+    private CommitResult apply(StoreCommit c) {
+        boolean tooLong = c.conditions().size() + c.puts().size() + c.removals().size() > MAX_ROWS;
+        if (tooLong || c.puts().stream().anyMatch(p -> p.value().length() > maxValueLength)) {
             return new CommitResult(CommitResult.Outcome.REJECTED, 0, List.of());
         }
         boolean holds = c.conditions().stream().allMatch(w -> revisionOf(w.key()) == w.revision());
@@ -156,7 +156,7 @@
         c.puts().forEach(p -> items.put(p.key(), new StoreItem(p.key(), p.value(), revision, p.lease())));
         c.removals().forEach(key -> {
             items.remove(key);
-            gone.put(key, revision);
+            removedAt.put(key, revision);
         });
         return new CommitResult(CommitResult.Outcome.MADE, revision, List.of());
     }
@@ -169,7 +169,7 @@
     @Override
     public CompletableFuture<Optional<StoreItem>> read(String key) {
         reads++;
-        return holdsReads
+        return dropsReads
                 ? new CompletableFuture<>()
                 : CompletableFuture.completedFuture(Optional.ofNullable(items.get(key)));
     }
@@ -183,25 +183,25 @@
 
     @Override
     public CompletableFuture<StoreChanges> watch(String prefix, long afterRevision, long waitMillis) {
-        Watching w = new Watching(prefix, afterRevision, new CompletableFuture<>());
-        watching.add(w);
+        PendingWatch w = new PendingWatch(prefix, afterRevision, new CompletableFuture<>());
+        pendingWatches.add(w);
         return w.answer;
     }
 
     /** The prefix whose watches get no answer; empty for none. */
-    String silentPrefix = "";
+    String mutedPrefix = "";
 
     /** Answers the watches that wait, with what was written or removed since. */
-    void tellWatches() {
-        List<Watching> told = watching.stream()
-                .filter(w -> silentPrefix.isEmpty() || !w.prefix.equals(silentPrefix))
+    void notifyWatches() {
+        List<PendingWatch> answered = pendingWatches.stream()
+                .filter(w -> mutedPrefix.isEmpty() || !w.prefix.equals(mutedPrefix))
                 .toList();
-        watching.removeAll(told);
-        told.forEach(w -> w.answer.complete(new StoreChanges(changes(w), revision)));
+        pendingWatches.removeAll(answered);
+        answered.forEach(w -> w.answer.complete(new StoreChanges(changes(w), revision)));
     }
 
-    private List<StoreChanges.Change> changes(Watching w) {
-        Stream<StoreChanges.Change> removed = gone.entrySet().stream()
+    private List<StoreChanges.Change> changes(PendingWatch w) {
+        Stream<StoreChanges.Change> removed = removedAt.entrySet().stream()
                 .filter(e -> e.getKey().startsWith(w.prefix) && e.getValue() > w.after)
                 .filter(e -> !items.containsKey(e.getKey()))
                 .map(e -> new StoreChanges.Change(e.getKey(), null));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
@@ -42,7 +42,7 @@
     class Ownership {
 
         @Test
-        void isNeededForAWrite() {
+        void isRequiredForAWrite() {
             write("mine");
             store.set(JobKeys.owner("clips"), "entry-2");
             write("not mine any more");
@@ -51,11 +51,11 @@
         }
 
         @Test
-        void thatWasLostMakesALateWriteFail() {
-            store.holdsCommits = true;
+        void thatWasLostRejectsALateWrite() {
+            store.dropsCommitAnswers = true;
             write("late");
             store.set(JobKeys.owner("clips"), "entry-2");
-            store.carryOutHeld();
+            store.applyDroppedCommits();
             assertEquals("", store.value(KEY));
         }
     }
@@ -64,22 +64,22 @@
     class LateWrites {
 
         @Test
-        void doNotReplaceNewerOnes() {
-            store.holdsCommits = true;
+        void doNotOverwriteNewerOnes() {
+            store.dropsCommitAnswers = true;
             write("old");
-            store.holdsCommits = false;
+            store.dropsCommitAnswers = false;
             write("new");
-            store.carryOutHeld();
+            store.applyDroppedCommits();
             assertEquals("new", store.value(KEY));
             assertEquals(List.of(FencedRecordWriter.Outcome.RETRY, FencedRecordWriter.Outcome.SAVED), outcomes);
         }
 
         @Test
-        void thatWereMadeAreLearntOfAndWrittenOver() {
-            store.holdsCommits = true;
+        void thatWereAppliedAreDetectedAndOverwritten() {
+            store.dropsCommitAnswers = true;
             write("first");
-            store.carryOutHeld();
-            store.holdsCommits = false;
+            store.applyDroppedCommits();
+            store.dropsCommitAnswers = false;
             write("second");
             write("second");
             assertEquals("second", store.value(KEY));
@@ -98,7 +98,7 @@
         }
 
         @Test
-        void goTogetherWhileOneIsUnderWay() {
+        void areMergedWhileAnotherIsInProgress() {
             store.delaysCommits = true;
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY + i, "value"), () -> {});
@@ -111,7 +111,7 @@
         }
 
         @Test
-        void leaveOutWhatIsWrittenOverWhileItWaits() {
+        void skipValuesOverwrittenInTheQueue() {
             store.delaysCommits = true;
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY, "value " + i), () -> {});
@@ -124,7 +124,7 @@
         }
 
         @Test
-        void areMadeAtOnceWhenARecordHasChangedMeanwhile() {
+        void areRepeatedAtOnceAfterAConflict() {
             records.writeInOrder(Map.of(KEY, "asked"), () -> {});
             store.set(KEY, "answered by another");
             records.writeInOrder(Map.of(KEY, ""), () -> {});
@@ -132,8 +132,8 @@
         }
 
         @Test
-        void goOnPastARecordThatTheStoreWillNeverTake() {
-            store.mostValueLength = 5;
+        void skipARecordThatTheStoreRejects() {
+            store.maxValueLength = 5;
             store.delaysCommits = true;
             for (int i = 0; i < 4; i++) {
                 String value = i == 2 ? "too long" : "short";
@@ -148,7 +148,7 @@
         }
 
         @Test
-        void endWhenTheDutyIsOwnedElsewhere() {
+        void stopWhenTheDutyIsOwnedElsewhere() {
             int[] lost = new int[1];
             store.set(JobKeys.owner("clips"), "entry-2");
             records.writeInOrder(Map.of(KEY, "running"), () -> lost[0]++);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -73,7 +73,7 @@
         ownership.start();
         advance(STEP_MILLIS);
         FleetTiming timing = FleetTiming.usual(2_000, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Context entry = new FleetHost.Context(
+        FleetHost.Context context = new FleetHost.Context(
                 name,
                 store,
                 new Instances(),
@@ -84,7 +84,7 @@
                 timing,
                 new JobMetrics(),
                 new UnreadableEntries(new JobMetrics()));
-        FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
+        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
@@ -92,12 +92,12 @@
     private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             loop.advance(STEP_MILLIS);
-            store.tellWatches();
+            store.notifyWatches();
         }
     }
 
     @Test
-    void doesNotShortenTheWaitForAnEarlierOwnerThatLivesOn() {
+    void doesNotShortenTheWaitForARunningEarlierOwner() {
         store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         FleetHost first = owner("entry-1");
         advance(300);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -43,7 +43,7 @@
     /** The platform asks for so long between the orders of two owners to one instance. */
     private static final long OWNER_LEASE_MILLIS = 3_000;
     // What an owner knows of its last order's age when it ends: it writes it down every so often.
-    private static final long WRITTEN_EVERY_MILLIS = 500;
+    private static final long RECORD_INTERVAL_MILLIS = 500;
     private static final long STEP_MILLIS = 50;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
@@ -79,7 +79,7 @@
     }
 
     @BeforeEach
-    void aPoolAsksForAnInstance() {
+    void requestInstance() {
         ServiceReport report = new ServiceReport(Map.of(), 1, 1, 0, List.of());
         store.set(JobKeys.report("clips"), RecordCodec.write(report));
     }
@@ -89,7 +89,7 @@
         ownership.start();
         advance(STEP_MILLIS);
         FleetTiming timing = FleetTiming.usual(UPKEEP_MILLIS, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Context entry = new FleetHost.Context(
+        FleetHost.Context context = new FleetHost.Context(
                 name,
                 store,
                 instances,
@@ -100,7 +100,7 @@
                 timing,
                 new JobMetrics(),
                 new UnreadableEntries(new JobMetrics()));
-        FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
+        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
@@ -108,12 +108,12 @@
     private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             loop.advance(STEP_MILLIS);
-            store.tellWatches();
+            store.notifyWatches();
         }
     }
 
     /** Lets one owner after the other own the fleet for this long. */
-    private void ownersFollowEachOther(long eachMillis, String... names) {
+    private void runOwners(long eachMillis, String... names) {
         for (String n : names) {
             FleetHost host = owner(n);
             advance(eachMillis);
@@ -122,40 +122,40 @@
     }
 
     @Nested
-    class ASuccessor {
+    class Successor {
 
-        private long betweenOrders() {
+        private long millisBetweenOrders() {
             assertEquals(2, instances.orderedAt.size());
             return instances.orderedAt.get(1) - instances.orderedAt.get(0);
         }
 
-        private void soonAfterTheLeaseOfTheFirst(int changes) {
-            long between = betweenOrders();
+        private void assertOrderedSoonAfterTheLease(int changes) {
+            long between = millisBetweenOrders();
             assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms between two owners' orders");
-            long latest = OWNER_LEASE_MILLIS + changes * WRITTEN_EVERY_MILLIS + WRITTEN_EVERY_MILLIS;
+            long latest = OWNER_LEASE_MILLIS + changes * RECORD_INTERVAL_MILLIS + RECORD_INTERVAL_MILLIS;
             assertTrue(between <= latest, between + " ms between two owners' orders, though the first was answered");
         }
 
         @Test
-        void waitsOnlyForTheRestOfThePredecessorsTime() {
-            ownersFollowEachOther(2_000, "entry-1");
-            ownersFollowEachOther(10_000, "entry-2");
-            soonAfterTheLeaseOfTheFirst(1);
+        void waitsOnlyForTheRemainingLease() {
+            runOwners(2_000, "entry-1");
+            runOwners(10_000, "entry-2");
+            assertOrderedSoonAfterTheLease(1);
         }
 
         @Test
-        void doesNotWaitAnewForWhatThePredecessorWaitedFor() {
-            ownersFollowEachOther(1_000, "entry-1", "entry-2");
-            ownersFollowEachOther(10_000, "entry-3");
-            soonAfterTheLeaseOfTheFirst(2);
+        void doesNotRestartThePredecessorsWait() {
+            runOwners(1_000, "entry-1", "entry-2");
+            runOwners(10_000, "entry-3");
+            assertOrderedSoonAfterTheLease(2);
         }
 
         @Test
-        void waitsForAllThatAnUnansweredOrderMayTake() {
+        void waitsForTheCallOfAnUnansweredOrder() {
             instances.answers = false;
-            ownersFollowEachOther(WRITTEN_EVERY_MILLIS, "entry-1");
-            ownersFollowEachOther(10_000, "entry-2");
-            assertTrue(betweenOrders() >= OWNER_LEASE_MILLIS + InstanceOrders.CALL_MILLIS);
+            runOwners(RECORD_INTERVAL_MILLIS, "entry-1");
+            runOwners(10_000, "entry-2");
+            assertTrue(millisBetweenOrders() >= OWNER_LEASE_MILLIS + InstanceOrders.CALL_MILLIS);
         }
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
@@ -38,7 +38,7 @@
 class HandOverTest {
 
     /** An entry that stops serves callers on for so long in any case: what a hand-over takes beyond it delays the stop. */
-    private static final long SERVE_ON_MILLIS = 3_000;
+    private static final long SHUTDOWN_SERVING_MILLIS = 3_000;
 
     private final NodeFixture f = new NodeFixture();
 
@@ -47,61 +47,61 @@
 
         /** One write of an end got no answer and was not made. */
         @Test
-        void comesAfterWhatWasHeardIsWritten() {
+        void waitsUntilReceivedResultsAreWritten() {
             f.startServing("w1");
-            f.store.holdsCommits = true;
-            f.ends("w1");
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
             f.advance(30);
             f.node.stop();
             f.advance(20);
-            f.store.holdsCommits = false;
+            f.store.dropsCommitAnswers = false;
             f.advance(1_000);
-            assertTrue(f.saysOver(f.jobOn("w1")), "the next owner would run it again");
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")), "the next owner would run it again");
             assertFalse(f.owns("clips"));
         }
 
         /** The write was made and only its answer was lost: what lies in the store is newer than what was last known. */
         @Test
-        void comesAfterAWriteWhoseAnswerWasLostIsKnownToBeMade() {
+        void waitsUntilAnUnansweredWriteIsConfirmed() {
             f.startServing("w1", "w2");
-            f.store.holdsCommits = true;
-            f.ends("w1");
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
             f.advance(30);
-            f.store.carryOutHeld();
-            f.ends("w2");
+            f.store.applyDroppedCommits();
+            f.endRunOn("w2");
             f.advance(30);
             f.node.stop();
-            f.store.holdsCommits = false;
+            f.store.dropsCommitAnswers = false;
             f.advance(1_000);
-            assertTrue(f.saysOver(f.jobOn("w1")));
-            assertTrue(f.saysOver(f.jobOn("w2")), "heard before the stop");
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")));
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "heard before the stop");
             assertFalse(f.owns("clips"));
         }
 
         /** Its worker leaves within the 2 s of its notice: whoever follows may come too late to ask it. */
         @Test
-        void comesAfterAnEndOfALeavingWorkerThatArrivesMeanwhile() {
+        void waitsForAResultOfADrainingWorkerThatArrivesMeanwhile() {
             f.startServing("w1", "w2");
-            f.lists("w2", true);
+            f.listWorker("w2", true);
             f.advance(600);
-            f.store.holdsCommits = true;
-            f.ends("w1");
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
             f.advance(30);
             f.node.stop();
-            f.ends("w2");
+            f.endRunOn("w2");
             f.advance(60);
-            f.store.holdsCommits = false;
+            f.store.dropsCommitAnswers = false;
             f.advance(1_000);
-            assertTrue(f.saysOver(f.jobOn("w2")), "it ended while the hand-over waited for the other write");
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "it ended while the hand-over waited for the other write");
             assertFalse(f.owns("clips"));
         }
 
         /** What the next owner finds out by asking workers takes time; what begins now would be begun under both. */
         @Test
-        void beginsNothingOnceItIsUnderWay() {
+        void startsNoTaskOnceInProgress() {
             f.startServing("w1");
             f.node.stop();
-            f.lists("w2", false);
+            f.listWorker("w2", false);
             f.submit("late");
             f.advance(2_000);
             assertEquals(1, f.workers.starts.size());
@@ -109,21 +109,21 @@
 
         /** Nobody starts the callers' jobs meanwhile, and while the store answers nobody there is no use in waiting. */
         @Test
-        void doesNotWaitForAStoreThatStaysAwayLongerThanTheEntryServesOn() {
+        void doesNotWaitLongerForTheStoreThanTheEntryServes() {
             f.startServing("w1");
-            f.ends("w1");
-            f.store.holdsCommits = true;
+            f.endRunOn("w1");
+            f.store.dropsCommitAnswers = true;
             f.advance(30);
             f.node.stop();
-            assertTrue(f.untilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SERVE_ON_MILLIS);
+            assertTrue(f.millisUntilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SHUTDOWN_SERVING_MILLIS);
         }
 
         /** Without anything to write a service has a free key as soon as before: what callers wait for is the next owner. */
         @Test
-        void isImmediateWhenNothingIsUnwritten() {
+        void isImmediateWithoutPendingWrites() {
             f.startServing("w1");
             f.node.stop();
-            assertTrue(f.untilFree("clips", 1_000) <= 2 * NodeFixture.STEP_MILLIS);
+            assertTrue(f.millisUntilFree("clips", 1_000) <= 2 * NodeFixture.STEP_MILLIS);
         }
     }
 
@@ -132,7 +132,7 @@
 
         private static final String DUTY = JobNode.FLEET;
 
-        private void ordersAnInstance() {
+        private void requestInstance() {
             f.instances.all = List.of(new PlatformInstance("m1", "spare", PlatformInstance.State.UP, "north", ""));
             f.store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         }
@@ -142,14 +142,14 @@
          * of it, or leaves the instance alone for seconds while jobs wait for it.
          */
         @Test
-        void tellsOfOrdersWhoseRecordWasBeingWritten() {
+        void recordsTheFateOfOrdersWhoseRecordWasBeingWritten() {
             f.startServing("w1");
-            ordersAnInstance();
+            requestInstance();
             f.store.delaysCommits = true;
-            for (int i = 0; i < 40 && !f.store.delaysRecentOrders(); i++) {
+            for (int i = 0; i < 40 && !f.store.hasDelayedRecentOrders(); i++) {
                 f.advance(NodeFixture.STEP_MILLIS);
             }
-            assertTrue(f.store.delaysRecentOrders(), "the order's record waits for its answer");
+            assertTrue(f.store.hasDelayedRecentOrders(), "the order's record waits for its answer");
             f.node.stop();
             f.advance(NodeFixture.STEP_MILLIS);
             f.store.delaysCommits = false;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -51,10 +51,10 @@
     }
 
     @Nested
-    class ARecordThatCanNotBeRead {
+    class UnreadableRecord {
 
         @Test
-        void isListedWithWhatIsWrongWithIt() {
+        void isListedWithItsError() {
             store.set(JobKeys.job("clips", A), "{}");
             store.setNonText(JobKeys.progress("clips", A));
             List<String> lines = answer("job list");
@@ -64,7 +64,7 @@
         }
 
         @Test
-        void ofAnyKindIsListedByItself() {
+        void ofAnyKindIsListed() {
             assertEquals(List.of("all entries can be read"), answer("job unreadable"));
             List<String> keys = List.of(
                     FakeRecords.CONFIGURATION,
@@ -88,7 +88,7 @@
     }
 
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         private void isOver(JobProgress p) {
             store.set(JobKeys.job("clips", A), "over");
@@ -96,7 +96,7 @@
         }
 
         @Test
-        void isExplainedWithoutItsSteps() {
+        void isExplainedWithoutSteps() {
             isOver(new JobProgress(JobState.FAILED, List.of(), "task 0.0.1 failed 3 times", 2_000));
             List<String> lines = answer("job explain a");
             assertEquals("job a of queue q on service clips: FAILED, task 0.0.1 failed 3 times", lines.get(0));
@@ -104,7 +104,7 @@
         }
 
         @Test
-        void saysThatItsCallerCancelledIt() {
+        void showsACancellationByItsCaller() {
             isOver(new JobProgress(JobState.CANCELLED, List.of(), "", 2_000));
             store.set(JobKeys.cancel("clips", A), A.toString());
             assertTrue(answer("job explain a").get(1).startsWith("over for 7000 ms, cancelled by its caller"));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobExplanationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobExplanationTest.java
@@ -48,46 +48,46 @@
         return new JobProgress(JobState.RUNNING, List.of(tasks), "", 1_500);
     }
 
-    private static String explained(JobSpec spec, JobProgress progress, String owner, long now) {
+    private static String explain(JobSpec spec, JobProgress progress, String owner, long now) {
         return String.join("\n", JobExplanation.of(spec, progress, false, owner, now));
     }
 
     @Nested
-    class AJobThatWaits {
+    class WaitingJob {
 
         @Test
-        void saysWhereItsTasksAreAndWhatTheOthersWaitFor() {
+        void showsTaskPlacementsAndReasonsForWaiting() {
             TaskRecord placed = new TaskRecord(0, 0, 0, 2, 1, false, "w1", "");
-            String text = explained(job(Repeat.ONCE), running(placed), "entry-1", 3_000);
+            String text = explain(job(Repeat.ONCE), running(placed), "entry-1", 3_000);
             assertTrue(text.contains("placed: 0 on w1 (run 2, 1 failed), 1 wait for a worker with 500"), text);
             assertTrue(text.contains("step 1: 0 of 1 done, 1 wait for step 0"), text);
             assertTrue(text.contains("accepted 2000 ms ago"), text);
         }
 
         @Test
-        void saysHowManyWorkersCrashedUnderATask() {
+        void showsWorkerCrashesPerTask() {
             TaskRecord suspect = new TaskRecord(0, 0, 1, 3, 0, false, "", "", 2, 1);
-            String text = explained(job(Repeat.ONCE), running(suspect), "entry-1", 3_000);
+            String text = explain(job(Repeat.ONCE), running(suspect), "entry-1", 3_000);
             assertTrue(text.contains("task 0.0.1: 2 workers crashed while they ran it, 1 more may have"), text);
         }
 
         @Test
-        void saysThatNobodyOwnsItsService() {
-            assertTrue(explained(job(Repeat.ONCE), running(), "", 3_000).contains("nobody owns clips"));
+        void showsAServiceWithoutOwner() {
+            assertTrue(explain(job(Repeat.ONCE), running(), "", 3_000).contains("nobody owns clips"));
         }
 
         @Test
-        void saysWhenItsTimeComes() {
-            String text = explained(job(new Repeat(1, 9_000, 0)), running(), "entry-1", 3_000);
+        void showsTheRemainingTimeOfARepetition() {
+            String text = explain(job(new Repeat(1, 9_000, 0)), running(), "entry-1", 3_000);
             assertTrue(text.contains("wait for their time, in 6000 ms"), text);
         }
     }
 
     @Nested
-    class AJobThatHasEnded {
+    class EndedJob {
 
         @Test
-        void saysWhy() {
+        void showsTheReason() {
             JobProgress failed = new JobProgress(JobState.FAILED, List.of(), "task 0.0.1 failed 3 times", 2_000);
             List<String> lines = JobExplanation.of(job(Repeat.ONCE), failed, false, "entry-1", 3_000);
             assertTrue(lines.get(0).endsWith("FAILED, task 0.0.1 failed 3 times"), lines.get(0));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -75,16 +75,16 @@
     }
 
     @Nested
-    class AJob {
+    class SubmittedJob {
 
         @Test
-        void isTakenOnceItIsInTheStore() {
+        void isAcceptedOnceStored() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(false, store.value(JOB).isEmpty());
         }
 
         @Test
-        void isOneHoweverOftenItIsHandedIn() {
+        void isStoredOnceDespiteRepeatedSubmissions() {
             submit();
             String first = store.value(JOB);
             assertEquals(SubmitOutcome.ACCEPTED, submit());
@@ -92,22 +92,22 @@
         }
 
         @Test
-        void isNotTakenAtOnceWhileTheStoreDoesNotAnswer() {
+        void isRefusedWhileTheStoreDoesNotAnswer() {
             reached = false;
             assertEquals(SubmitOutcome.NOT_TAKEN, submit());
             assertEquals("", store.value(JOB), "nothing may be written that was refused");
         }
 
         @Test
-        void isNotSaidToBeRefusedWhenAnAnswerIsMissing() {
-            store.holdsCommits = true;
+        void isUnknownAfterAnUnansweredWrite() {
+            store.dropsCommitAnswers = true;
             assertEquals(SubmitOutcome.UNKNOWN, submit());
-            store.carryOutHeld();
+            store.applyDroppedCommits();
             assertEquals(false, store.value(JOB).isEmpty(), "the write came late");
         }
 
         @Test
-        void isNotTakenForAQueueThatIsNotThere() {
+        void isRefusedForANonexistentQueue() {
             StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
             Submission s = new Submission("text", List.of(one), Repeat.ONCE);
             assertEquals(
@@ -122,12 +122,12 @@
     private final Admission admitted = new Admission(Admission.Outcome.ADMITTED, queue, null);
 
     @Nested
-    class AJobThatCanNotBeRead {
+    class UnreadableJob {
 
         private final JobKey job = new JobKey("q", "a");
 
         @Test
-        void hasNoStateThatIsTold() {
+        void hasAnUnknownState() {
             store.set(JOB, "{}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
             store.setNonText(JobKeys.progress("clips", job));
@@ -137,7 +137,7 @@
         }
 
         @Test
-        void isNotTakenASecondTime() {
+        void isNotStoredTwice() {
             store.setNonText(JOB);
             long commits = store.commits;
             assertEquals(SubmitOutcome.ACCEPTED, submit());
@@ -154,10 +154,10 @@
     }
 
     @Nested
-    class AReportThatCanNotBeRead {
+    class UnreadableReport {
 
         @Test
-        void isNotTakenForNothingWaiting() {
+        void isNotCountedAsZero() {
             store.set(JobKeys.owner("clips"), "entry");
             store.set(JobKeys.report("clips"), "{\"pendingByQueue\":7}");
             store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
@@ -167,7 +167,7 @@
 
     /** Its record is small by then; what callers are told is the same. */
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         @BeforeEach
         void end() {
@@ -177,20 +177,20 @@
         }
 
         @Test
-        void isNotTakenASecondTime() {
+        void isNotStoredTwice() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals("over", store.value(JOB));
         }
 
         @Test
-        void hasItsLastState() {
+        void keepsItsLastState() {
             assertEquals(
                     JobAnswer.of(JobState.COMPLETED),
                     intake.state(admitted, "a").join());
         }
 
         @Test
-        void mayStillBeCancelledAsBefore() {
+        void canStillBeCancelled() {
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -200,7 +200,7 @@
         }
 
         @Test
-        void isNotCountedAsWaitingThoughItsProgressIsNotSeen() {
+        void isNotCountedAsPendingWithoutItsProgress() {
             store.set(JobKeys.job("clips", new JobKey("q", "b")), "over");
             store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
@@ -208,7 +208,7 @@
     }
 
     @Nested
-    class AWorkspacesKey {
+    class WorkspaceKey {
 
         private void configure(long version, String... keys) {
             List<KeyDigest> digests = List.of(keys).stream().map(KeyDigest::of).toList();
@@ -255,7 +255,7 @@
         @Test
         void thatWasRevokedIsRefusedBeforeTheWatchReportsIt() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3);
             assertEquals(SubmitOutcome.UNKNOWN_KEY, submit("k1"));
         }
@@ -263,7 +263,7 @@
         @Test
         void thatWasJustAddedIsAccepted() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3, "k1", "k2");
             loop.advance(1_000);
             assertEquals(SubmitOutcome.ACCEPTED, submit("k2"));
@@ -289,7 +289,7 @@
         @Test
         void givesNoAccessToEndedJobsOfOtherWorkspaces() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             store.set(JOB, JobSpec.OVER);
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0, "news");
             store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
@@ -337,8 +337,8 @@
         @Test
         void causesOneReadForConcurrentRequests() {
             configure(2, "k1");
-            store.tellWatches();
-            store.holdsReads = true;
+            store.notifyWatches();
+            store.dropsReads = true;
             long before = store.reads;
             loop.advance(5_000);
             for (int i = 0; i < 10; i++) {
@@ -349,20 +349,20 @@
     }
 
     @Nested
-    class CountsOfWaitingJobs {
+    class PendingJobCounts {
 
         private static final String REPORT =
                 "{\"pendingByQueue\":{\"q\":7},\"needed\":1,\"firm\":1,\"late\":0,\"workers\":[]}";
 
         @Test
-        void areTheOwnersOnceItHasToldThem() {
+        void comeFromTheOwnersReport() {
             store.set(JobKeys.owner("clips"), "entry-2");
             store.set(JobKeys.report("clips"), REPORT);
             assertEquals(7, intake.pending(queue).join().orElseThrow());
         }
 
         @Test
-        void areReadWhileANewOwnerHasToldNothing() {
+        void comeFromTheStoreBeforeANewOwnerReports() {
             store.set(JobKeys.report("clips"), REPORT);
             store.set(JobKeys.owner("clips"), "entry-2");
             store.set(JobKeys.job("clips", new JobKey("q", "a")), "a job that waits");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
@@ -57,7 +57,7 @@
     class Scraped {
 
         @Test
-        void tellOutcomesAndTimes() throws Exception {
+        void containOutcomesAndTimes() throws Exception {
             meters.submitted(SubmitOutcome.ACCEPTED);
             meters.decided(event(SchedulerEvent.Kind.START_ANSWERED, "NO_ROOM", 0));
             meters.decided(event(SchedulerEvent.Kind.JOB_BEGUN, "", 120));
@@ -79,7 +79,7 @@
         }
 
         @Test
-        void areAtOnePathOnly() throws Exception {
+        void areServedAtOnePathOnly() throws Exception {
             assertEquals(404, get("/").statusCode());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
@@ -29,13 +29,13 @@
     private static final long CALL_MILLIS = 500;
     private static final long STEP_MILLIS = 10;
     private static final long SETTLED_MILLIS = 2_000;
-    private static final long RENEWED_EVERY_MILLIS = 450;
+    private static final long RENEWAL_INTERVAL_MILLIS = 450;
     // Longer than a lease, and than any that is lost here.
     private static final long LONG_MILLIS = 5_000;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
-    private final OwnershipManager keeper = new OwnershipManager(store, loop, "entry-1", 1, new NoDuties());
+    private final OwnershipManager manager = new OwnershipManager(store, loop, "entry-1", 1, new NoDuties());
 
     private static final class NoDuties implements OwnershipManager.Listener {
 
@@ -47,39 +47,39 @@
     }
 
     @BeforeEach
-    void aLeaseIsOpen() {
-        keeper.start();
+    void openLease() {
+        manager.start();
         advance(SETTLED_MILLIS);
     }
 
-    /** Lets time pass and returns whether the lease has lived all the while. */
+    /** Lets time pass and returns whether the lease has alive all the while. */
     private boolean advance(long millis) {
-        boolean lived = true;
+        boolean alive = true;
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             while (!store.lostRenewals.isEmpty()) {
                 var lost = store.lostRenewals.remove();
                 loop.after(CALL_MILLIS, () -> lost.completeExceptionally(new TimeoutException()));
             }
             loop.advance(STEP_MILLIS);
-            lived &= keeper.reachesStore();
+            alive &= manager.reachesStore();
         }
-        return lived;
+        return alive;
     }
 
     @Test
-    void livesThroughOneLostRenewal() {
+    void survivesOneLostRenewal() {
         store.renewalsToLose = 1;
         assertTrue(advance(LONG_MILLIS));
     }
 
     @Test
-    void livesThroughThreeLostRenewalsInARow() {
+    void survivesThreeConsecutiveLostRenewals() {
         store.renewalsToLose = 3;
         assertTrue(advance(LONG_MILLIS), "there is time for a fourth before it ends");
     }
 
     @Test
-    void goesOnAfterTheStoreWasAway() {
+    void recoversAfterAStoreOutage() {
         store.renewalsToLose = Integer.MAX_VALUE;
         assertFalse(advance(LONG_MILLIS));
         store.renewalsToLose = 0;
@@ -88,9 +88,9 @@
     }
 
     @Test
-    void isRenewedAFewTimesPerLeaseWhileAllIsWell() {
+    void isRenewedNoMoreOftenThanNecessary() {
         int before = store.renewals;
         assertTrue(advance(LONG_MILLIS));
-        assertTrue(store.renewals - before <= LONG_MILLIS / RENEWED_EVERY_MILLIS + 1);
+        assertTrue(store.renewals - before <= LONG_MILLIS / RENEWAL_INTERVAL_MILLIS + 1);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -34,44 +34,44 @@
     private final MemberRegistry members = new MemberRegistry(watch, loop.clock(), "self", 500);
     private final String life = MemberRegistry.newLife("other");
 
-    private boolean isOver(String registered) {
+    private boolean isEndedBy(String registered) {
         store.set(JobKeys.entry("other"), registered);
-        return read();
+        return isEnded();
     }
 
-    private boolean read() {
+    private boolean isEnded() {
         watch.start();
         loop.advance(1);
         return members.isOver(life, MemberRegistry.newLife("self"));
     }
 
     @Nested
-    class ALife {
+    class Life {
 
         @Test
-        void isOverOnceItsEntryIsRegisteredWithAnother() {
-            assertFalse(isOver(life));
-            assertTrue(isOver(MemberRegistry.newLife("other")));
+        void endsOnceItsEntryRegistersAnother() {
+            assertFalse(isEndedBy(life));
+            assertTrue(isEndedBy(MemberRegistry.newLife("other")));
         }
 
         @Test
-        void isNotOverByWhatNamesNoLifeOfItsEntry() {
-            assertFalse(isOver(""));
-            assertFalse(isOver("{}"));
-            assertFalse(isOver(MemberRegistry.newLife("third")));
+        void isNotEndedByAnInvalidRegistration() {
+            assertFalse(isEndedBy(""));
+            assertFalse(isEndedBy("{}"));
+            assertFalse(isEndedBy(MemberRegistry.newLife("third")));
             store.setNonText(JobKeys.entry("other"));
-            assertFalse(read());
+            assertFalse(isEnded());
         }
     }
 
     @Nested
-    class ADuty {
+    class Duty {
 
         @Test
-        void isOwnedAlsoWhereItsOwnerCanNotBeRead() {
+        void isOwnedEvenIfItsOwnerIsUnreadable() {
             store.setNonText(JobKeys.owner("clips"));
             store.set(JobKeys.owner("archive"), "");
-            read();
+            isEnded();
             assertEquals(Set.of("clips", "archive"), members.owners().keySet());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -110,7 +110,7 @@
             return r;
         }
 
-        void ends(String worker, String job) {
+        void endRun(String worker, String job) {
             running.remove(worker);
             ended.put(worker, List.of(new EndReport(1, job, FIRST, 1, EndKind.DONE, "")));
         }
@@ -154,11 +154,11 @@
     void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             loop.advance(STEP_MILLIS);
-            store.tellWatches();
+            store.notifyWatches();
         }
     }
 
-    void lists(String worker, boolean draining) {
+    void listWorker(String worker, boolean draining) {
         Room room = new Room(1_000, 8_000, 0);
         WorkerFacts w = new WorkerFacts(
                 worker, "clips", "at-" + worker, "north", draining, draining ? 2_000 : 0, room, List.of("rack"));
@@ -184,7 +184,7 @@
                 List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true));
         store.set(FakeRecords.CONFIGURATION, RecordCodec.write(new JobConfiguration(1, queues, services, 1 << 18)));
         for (String w : ids) {
-            lists(w, false);
+            listWorker(w, false);
             submit("job-" + w);
         }
         node.start();
@@ -192,8 +192,8 @@
         assertEquals(ids.length, workers.starts.size(), "one task runs on each worker");
     }
 
-    void ends(String worker) {
-        workers.ends(worker, jobOn(worker));
+    void endRunOn(String worker) {
+        workers.endRun(worker, jobOn(worker));
     }
 
     String jobOn(String worker) {
@@ -204,7 +204,7 @@
                 .jobId();
     }
 
-    boolean saysOver(String job) {
+    boolean isRecordedAsFinished(String job) {
         return RecordCodec.read(store.value(JobKeys.progress("clips", new JobKey("q", job))), JobProgress.class)
                 .get()
                 .over();
@@ -215,11 +215,11 @@
     }
 
     /** Lets time pass until the duty is free; returns how long that took. */
-    long untilFree(String duty, long mostMillis) {
-        long begun = loop.clock().millis();
-        while (owns(duty) && loop.clock().millis() - begun < mostMillis) {
+    long millisUntilFree(String duty, long maxMillis) {
+        long startedAt = loop.clock().millis();
+        while (owns(duty) && loop.clock().millis() - startedAt < maxMillis) {
             advance(STEP_MILLIS);
         }
-        return loop.clock().millis() - begun;
+        return loop.clock().millis() - startedAt;
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
@@ -29,12 +29,12 @@
 class OwnershipManagerTest {
 
     private static final long SOON_MILLIS = 3_000;
-    private static final long TELL_MILLIS = 50;
+    private static final long STEP_MILLIS = 50;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Long> fences = new ArrayList<>();
-    private final OwnershipManager keeper = new OwnershipManager(store, loop, "entry", 1_000, new Listener());
+    private final OwnershipManager manager = new OwnershipManager(store, loop, "entry", 1_000, new Listener());
 
     private final class Listener implements OwnershipManager.Listener {
         @Override
@@ -47,28 +47,28 @@
     }
 
     private void advance(long millis) {
-        for (long left = millis; left > 0; left -= TELL_MILLIS) {
-            loop.advance(TELL_MILLIS);
-            store.tellWatches();
+        for (long left = millis; left > 0; left -= STEP_MILLIS) {
+            loop.advance(STEP_MILLIS);
+            store.notifyWatches();
         }
     }
 
-    private void ownsClips() {
-        keeper.start();
-        keeper.setDuties(Set.of("clips"));
+    private void acquireClips() {
+        manager.start();
+        manager.setDuties(Set.of("clips"));
         advance(SOON_MILLIS);
         assertEquals(1, fences.size());
     }
 
     /** The store still says that the duty is this entry's, after it has given it up. */
     @Nested
-    class ADutyThatIsTakenUpAgain {
+    class ReacquiredDuty {
 
         /** Orders and writes of its first time may still be under way, and must meet a greater fence. */
         @Test
         void hasAGreaterFence() {
-            ownsClips();
-            keeper.giveUp("clips", fences.get(0), "a worker refused an order");
+            acquireClips();
+            manager.giveUp("clips", fences.get(0), "a worker refused an order");
             advance(SOON_MILLIS);
             assertEquals(2, fences.size());
             assertTrue(fences.get(1) > fences.get(0));
@@ -78,9 +78,9 @@
         }
 
         @Test
-        void isTakenOverByNobodyElseMeanwhile() {
-            ownsClips();
-            keeper.giveUp("clips", fences.get(0), "a worker refused an order");
+        void isNotAcquiredIfAnotherEntryOwnsIt() {
+            acquireClips();
+            manager.giveUp("clips", fences.get(0), "a worker refused an order");
             store.set(JobKeys.owner("clips"), "another entry");
             advance(SOON_MILLIS);
             assertEquals(1, fences.size());
@@ -88,17 +88,17 @@
     }
 
     @Nested
-    class ADutyWhoseTakingGotNoAnswer {
+    class UnansweredAcquisition {
 
         @Test
-        void isWonWithTheRevisionOfThatWrite() {
-            keeper.start();
+        void isWonWithTheRevisionOfTheWrite() {
+            manager.start();
             advance(SOON_MILLIS);
-            store.holdsCommits = true;
-            keeper.setDuties(Set.of("clips"));
+            store.dropsCommitAnswers = true;
+            manager.setDuties(Set.of("clips"));
             advance(150);
-            store.holdsCommits = false;
-            store.carryOutHeld();
+            store.dropsCommitAnswers = false;
+            store.applyDroppedCommits();
             advance(SOON_MILLIS);
             assertEquals(
                     List.of(store.read(JobKeys.owner("clips"))
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
@@ -40,9 +40,9 @@
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Workspace> workspaces = new ArrayList<>();
-    private final QuotaManager keeper = keeper();
+    private final QuotaManager manager = manager();
 
-    private QuotaManager keeper() {
+    private QuotaManager manager() {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         long revision = store.set(FakeRecords.CONFIGURATION, "any");
         NodeFixture.Instances instances = new NodeFixture.Instances();
@@ -67,14 +67,14 @@
     }
 
     private WorkspaceQuota addWaitingTask(String workspace) {
-        WorkspaceQuota q = keeper.table().of(workspace);
+        WorkspaceQuota q = manager.table().of(workspace);
         q.addWaiting(TASK, TASK);
         return q;
     }
 
-    private void runKeeper() {
+    private void runManager() {
         for (int i = 0; i < 10; i++) {
-            keeper.run();
+            manager.run();
             loop.advance(10);
         }
     }
@@ -86,7 +86,7 @@
         void getsAGrant() {
             addLimitedWorkspace("news", 4_000);
             WorkspaceQuota q = addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertTrue(q.mayPlace(TASK));
             assertFalse(store.value(JobKeys.quota("news")).isEmpty());
         }
@@ -95,10 +95,10 @@
         @Test
         void getsAGrantWhenALaterConfigurationAddsTheQuota() {
             addLimitedWorkspace("news", 4_000);
-            runKeeper();
+            runManager();
             addLimitedWorkspace("archive", 4_000);
             WorkspaceQuota q = addWaitingTask("archive");
-            runKeeper();
+            runManager();
             assertTrue(q.mayPlace(TASK));
         }
     }
@@ -109,7 +109,7 @@
         @Test
         void nothingIsWritten() {
             addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertEquals(0, store.commits);
         }
     }
@@ -123,7 +123,7 @@
             store.set(JobKeys.owner("clips"), "another entry");
             addLimitedWorkspace("news", 4_000);
             WorkspaceQuota q = addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertEquals(1, store.commits);
             assertFalse(q.mayPlace(TASK));
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
@@ -57,21 +57,21 @@
     }
 
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         @Test
-        void needNotBeRead() {
+        void isFinished() {
             assertTrue(jobs.isFinished(OVER));
             assertTrue(jobs.isFinished(OVER), "nor when its record is seen again");
         }
 
         @Test
-        void stayOverUntilItsRecordsAreGoneForCertain() {
+        void staysFinishedUntilItsRecordsAreRemoved() {
             assertNotNull(jobs.takeProgress(OVER), "a scheduler had taken it, and has let it go now");
-            store.holdsCommits = true;
+            store.dropsCommitAnswers = true;
             jobs.removeExpired(List.of(OVER));
             assertTrue(jobs.isFinished(OVER), "the store has not answered; its record may be read again");
-            store.holdsCommits = false;
+            store.dropsCommitAnswers = false;
             jobs.removeExpired(List.of());
             assertFalse(jobs.isFinished(OVER));
             assertEquals("", store.value(JobKeys.job("clips", OVER)));
@@ -79,23 +79,23 @@
     }
 
     @Nested
-    class AJobWithATaskOnAWorker {
+    class EndedJobWithARunningTask {
 
         @Test
-        void isHandedOnThoughItHasEnded() {
+        void isPassedToTheScheduler() {
             assertFalse(jobs.isFinished(LIVE), "its task must still be stopped");
             assertNotNull(jobs.takeProgress(LIVE));
         }
     }
 
     @Nested
-    class ATaskWhoseCountOfCrashesIsNoCount {
+    class InvalidCrashCount {
 
         private static final JobKey COUNTED = new JobKey("q", "counted");
 
         /** Without its job it would be begun anew, and what is wrong with it would stay unknown. */
         @Test
-        void isHandedOnAndToldAsUnreadable() {
+        void isPassedToTheSchedulerAndReported() {
             store.set(
                     JobKeys.progress("clips", COUNTED),
                     "{\"state\":\"RUNNING\",\"tasks\":[[0,0,0,3,0,false,\"w1\",\"\",-2]],\"reason\":\"\",\"changedMillis\":0}");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -57,7 +57,7 @@
 
     // As long as a text may well be; the steps come on top.
     private static final String TEXT = "x".repeat(2_000);
-    private static final String SMALL = "over";
+    private static final String REDUCED = "over";
     private static final long INHERITED_MILLIS = 7_000;
     private static final long SOON_MILLIS = 3_000;
     private static final long KEPT_MILLIS = 130_000;
@@ -68,7 +68,7 @@
     private SchedulerHost owner() {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, INHERITED_MILLIS, 2_000, 10_000);
-        SchedulerHost.Context entry = new SchedulerHost.Context(
+        SchedulerHost.Context context = new SchedulerHost.Context(
                 store,
                 new NoWorkers(),
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -82,7 +82,7 @@
                 () -> new ActiveWorkspaces(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
         WorkerFeed workers =
                 new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
-        SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
+        SchedulerHost host = new SchedulerHost(context, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
     }
@@ -105,7 +105,7 @@
     private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
             loop.advance(50);
-            store.tellWatches();
+            store.notifyWatches();
         }
     }
 
@@ -118,26 +118,26 @@
         return store.value(JobKeys.job("clips", key(id)));
     }
 
-    private List<StoreItem> readByASuccessor() {
+    private List<StoreItem> recordsReadBySuccessor() {
         return Stream.of(JobKeys.inputs("clips"), JobKeys.progress("clips"))
                 .flatMap(p -> store.range(p).join().items().stream())
                 .toList();
     }
 
-    private int bytesReadByASuccessor() {
-        return readByASuccessor().stream()
+    private int bytesReadBySuccessor() {
+        return recordsReadBySuccessor().stream()
                 .mapToInt(i -> (i.key() + i.value()).getBytes(StandardCharsets.UTF_8).length)
                 .sum();
     }
 
     @Nested
-    class ATakeOver {
+    class TakeOver {
 
         private static final int JOBS = 200;
         private static final int MOST_BYTES_A_JOB = 250;
 
         @Test
-        void readsLittleOfJobsThatAreOver() {
+        void readsLittleOfFinishedJobs() {
             for (int i = 0; i < JOBS; i++) {
                 accept("job-" + i);
                 cancel("job-" + i);
@@ -147,12 +147,12 @@
             for (int i = 0; i < JOBS; i++) {
                 assertTrue(progress("job-" + i).over());
             }
-            int bytes = bytesReadByASuccessor();
+            int bytes = bytesReadBySuccessor();
             assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " jobs that are over");
         }
 
         @Test
-        void readsAllOfAJobThatIsLive() {
+        void readsAllOfAnUnfinishedJob() {
             accept("live");
             String whole = record("live");
             owner();
@@ -161,14 +161,14 @@
         }
 
         @Test
-        void makesNoJobOfASmallRecord() {
+        void createsNoJobFromAReducedRecord() {
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
             advance(SOON_MILLIS);
             first.close();
             String last = store.value(JobKeys.progress("clips", key("a")));
-            store.set(JobKeys.job("clips", key("lonely")), SMALL);
+            store.set(JobKeys.job("clips", key("lonely")), REDUCED);
             cancel("lonely");
             owner();
             advance(SOON_MILLIS);
@@ -177,7 +177,7 @@
         }
 
         @Test
-        void forgetsWhatItsPredecessorLeftOfJobsThatAreOver() {
+        void removesFinishedJobsOfItsPredecessor() {
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
@@ -185,54 +185,54 @@
             first.close();
             owner();
             advance(KEPT_MILLIS - SOON_MILLIS);
-            assertEquals(3, readByASuccessor().size(), "callers may still ask");
+            assertEquals(3, recordsReadBySuccessor().size(), "callers may still ask");
             advance(4 * SOON_MILLIS);
-            assertEquals(List.of(), readByASuccessor());
+            assertEquals(List.of(), recordsReadBySuccessor());
         }
     }
 
     @Nested
-    class ARecordThatCanNotBeRead {
+    class UnreadableRecord {
 
-        private void keepsAllAsItIs() {
-            List<StoreItem> before = readByASuccessor();
+        private void assertNothingIsChanged() {
+            List<StoreItem> before = recordsReadBySuccessor();
             owner();
             advance(SOON_MILLIS);
             advance(2 * INHERITED_MILLIS);
-            assertEquals(Set.copyOf(before), Set.copyOf(readByASuccessor()));
+            assertEquals(Set.copyOf(before), Set.copyOf(recordsReadBySuccessor()));
         }
 
         @Test
-        void ofProgressIsNeitherTakenForNoneNorOverwritten() {
+        void ofProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
             store.set(JobKeys.progress("clips", key("a")), "{\"state\":\"HALF_DONE\"}");
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
-        void ofBytesIsNeitherTakenForNoneNorOverwritten() {
+        void ofNonTextProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
             store.setNonText(JobKeys.progress("clips", key("a")));
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
         void ofAJobIsNotOverwritten() {
             store.set(JobKeys.job("clips", key("a")), "{\"key\":3}");
             store.setNonText(JobKeys.job("clips", key("b")));
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
-        void ofAJobUnderAnotherKeyIsNotTaken() {
+        void ofAJobUnderAnotherKeyIsIgnored() {
             accept("a");
             store.set(JobKeys.job("clips", key("b")), record("a"));
             store.remove(JobKeys.job("clips", key("a")));
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
-        void holdsUpNoOtherJob() {
+        void doesNotBlockOtherJobs() {
             accept("a");
             accept("b");
             store.setNonText(JobKeys.progress("clips", key("a")));
@@ -243,7 +243,7 @@
         }
 
         @Test
-        void thatIsMendedLaterIsTakenWithItsProgress() {
+        void isUsedWithItsProgressOnceReadable() {
             accept("a");
             String good = record("a");
             JobProgress done =
@@ -261,25 +261,25 @@
     }
 
     @Nested
-    class TheRecordOfAJob {
+    class StoredJobRecord {
 
         @Test
-        void isSmallInTheSameWriteThatSaysThatTheJobIsOver() {
+        void isReducedInTheCommitThatFinishesTheJob() {
             accept("a");
             owner();
             advance(SOON_MILLIS);
-            store.holdsCommits = true;
+            store.dropsCommitAnswers = true;
             cancel("a");
             advance(100);
-            assertFalse(record("a").equals(SMALL));
-            store.holdsCommits = false;
+            assertFalse(record("a").equals(REDUCED));
+            store.dropsCommitAnswers = false;
             advance(SOON_MILLIS);
             assertTrue(progress("a").over());
-            assertEquals(SMALL, record("a"));
+            assertEquals(REDUCED, record("a"));
         }
 
         @Test
-        void isWholeUntilTheTasksOfAnEndedJobAreOffTheirWorkers() {
+        void staysCompleteUntilTheTasksOfAnEndedJobAreStopped() {
             accept("a");
             String whole = record("a");
             TaskRecord held = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "");
@@ -292,11 +292,11 @@
             assertFalse(progress("a").over());
             advance(2 * INHERITED_MILLIS);
             assertTrue(progress("a").over());
-            assertEquals(SMALL, record("a"));
+            assertEquals(REDUCED, record("a"));
         }
 
         @Test
-        void isLeftAloneByAnOwnerThatIsNoneAnyMore() {
+        void isNotChangedByAFormerOwner() {
             accept("a");
             String whole = record("a");
             owner();
@@ -308,14 +308,14 @@
         }
 
         @Test
-        void isRemovedWithAllElseAWhileAfterTheEnd() {
+        void isRemovedAfterTheRetentionTime() {
             accept("a");
             cancel("a");
             owner();
             advance(KEPT_MILLIS - SOON_MILLIS);
-            assertEquals(3, readByASuccessor().size(), "callers may still ask");
+            assertEquals(3, recordsReadBySuccessor().size(), "callers may still ask");
             advance(4 * SOON_MILLIS);
-            assertEquals(List.of(), readByASuccessor());
+            assertEquals(List.of(), recordsReadBySuccessor());
         }
     }
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
@@ -40,7 +40,7 @@
 
     private final NodeFixture f = new NodeFixture();
 
-    private void lists(PlatformInstance.State state) {
+    private void listInstance(PlatformInstance.State state) {
         boolean unknown = state == PlatformInstance.State.UNKNOWN;
         PlatformInstance i = new PlatformInstance("m1", "clips", state, "north", "w1");
         f.instances.all = List.of(unknown ? PlatformInstance.unknown("m1") : i);
@@ -51,31 +51,31 @@
         return f.store.value(JobKeys.evacuation("clips", worker));
     }
 
-    private boolean saysEmpty(String worker) {
+    private boolean isReportedEmpty(String worker) {
         return RecordCodec.read(requestFor(worker), EvacuationRecord.class)
                 .get()
                 .empty();
     }
 
     @Test
-    void isNotTakenForTheAnswerToANewRequest() {
+    void doesNotAnswerANewRequest() {
         f.startServing("w1");
-        lists(PlatformInstance.State.UP);
+        listInstance(PlatformInstance.State.UP);
         f.store.set("wave/1", RecordCodec.write(new UpkeepWave(1, List.of("m1"), 60_000, 2)));
         f.advance(200);
         assertFalse(requestFor("w1").isEmpty(), "the worker is asked to be empty");
-        lists(PlatformInstance.State.UNKNOWN);
-        f.ends("w1");
+        listInstance(PlatformInstance.State.UNKNOWN);
+        f.endRunOn("w1");
         f.advance(200);
-        assertTrue(saysEmpty("w1"));
-        f.store.silentPrefix = JobKeys.fleet();
-        lists(PlatformInstance.State.DOWN);
+        assertTrue(isReportedEmpty("w1"));
+        f.store.mutedPrefix = JobKeys.fleet();
+        listInstance(PlatformInstance.State.DOWN);
         assertTrue(requestFor("w1").isEmpty(), "the errand is over");
         f.submit("next");
         f.advance(LIST_MILLIS);
         assertEquals(2, f.workers.starts.size(), "the worker has work again");
-        lists(PlatformInstance.State.UP);
-        assertFalse(saysEmpty("w1"), "asked anew, and at work");
+        listInstance(PlatformInstance.State.UP);
+        assertFalse(isReportedEmpty("w1"), "asked anew, and at work");
         f.advance(2 * LIST_MILLIS);
         assertEquals(0, f.instances.orders.size(), "its order ends what runs there");
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
@@ -36,7 +36,7 @@
 
     private final NodeFixture f = new NodeFixture();
 
-    private void ofTwoSteps(String job) {
+    private void submitTwoSteps(String job) {
         StepSpec.Need need = new StepSpec.Need(1_000, 1, 0);
         f.submit(
                 job,
@@ -45,32 +45,32 @@
     }
 
     @Test
-    void ofAJobWhoseNextStepComesLaterStartsNothing() {
+    void preventsTheStartOfTheNextStep() {
         f.startServing("w1");
-        f.lists("w2", false);
-        ofTwoSteps("two");
+        f.listWorker("w2", false);
+        submitTwoSteps("two");
         f.advance(500);
         assertEquals(2, f.workers.starts.size());
-        f.store.silentPrefix = JobKeys.inputs("clips");
+        f.store.mutedPrefix = JobKeys.inputs("clips");
         f.store.set(JobKeys.cancel("clips", new JobKey("q", "two")), "cancelled");
         f.advance(CANCEL_MILLIS);
-        f.ends("w2");
+        f.endRunOn("w2");
         f.advance(2_000);
         assertEquals(2, f.workers.starts.size(), "its owner can not know that it goes on");
     }
 
     /** The wait ends with the news. */
     @Test
-    void ofAnotherJobKeepsNothingBackOnceTheNewsIsThere() {
+    void doesNotBlockOtherJobsOnceTheWatchRecovers() {
         f.startServing("w1");
-        f.lists("w2", false);
-        ofTwoSteps("two");
+        f.listWorker("w2", false);
+        submitTwoSteps("two");
         f.advance(500);
-        f.store.silentPrefix = JobKeys.inputs("clips");
+        f.store.mutedPrefix = JobKeys.inputs("clips");
         f.advance(CANCEL_MILLIS);
-        f.ends("w2");
+        f.endRunOn("w2");
         f.advance(500);
-        f.store.silentPrefix = "";
+        f.store.mutedPrefix = "";
         f.advance(500);
         assertEquals(3, f.workers.starts.size(), "the second step runs");
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
@@ -40,18 +40,18 @@
     private final WorkerFeed feed = new WorkerFeed(store, loop, new FakeRecords(), unreadable, () -> {});
 
     @BeforeEach
-    void twoWorkers() {
-        good("w1");
-        good("w2");
+    void addTwoWorkers() {
+        addWorker("w1");
+        addWorker("w2");
     }
 
-    private void good(String id) {
+    private void addWorker(String id) {
         Room room = new Room(4_000, 4_000, 0);
         WorkerFacts f = new WorkerFacts(id, "clips", id + ":1", "north", false, 0, room, List.of());
         store.set("worker/" + id, RecordCodec.write(f));
     }
 
-    private void started() {
+    private void startFeed() {
         feed.start();
         advance();
     }
@@ -59,7 +59,7 @@
     private void advance() {
         for (int i = 0; i < 10; i++) {
             loop.advance(50);
-            store.tellWatches();
+            store.notifyWatches();
         }
         loop.advance(50);
     }
@@ -68,44 +68,44 @@
         return feed.of("clips").stream().map(WorkerFacts::id).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private long counted() {
+    private long unreadableCount() {
         return meters.registry().counter("entries.unreadable.worker").getCount();
     }
 
     @Nested
-    class ABadRecord {
+    class UnreadableRecord {
 
         @Test
-        void thatWasThereBeforeNamesNoWorker() {
+        void presentAtTheStartIsNotListed() {
             store.set("worker/a-first", BAD);
             store.setNonText("worker/b-second");
-            started();
+            startFeed();
             assertEquals(Set.of("w1", "w2"), listed());
-            assertEquals(2, counted());
+            assertEquals(2, unreadableCount());
         }
 
         @Test
-        void thatReplacesAGoodOneTakesItsWorkerOffTheList() {
-            started();
+        void unlistsItsWorker() {
+            startFeed();
             store.set("worker/w1", BAD);
             advance();
             assertEquals(Set.of("w2"), listed());
         }
 
         @Test
-        void thatIsReplacedByAGoodOneIsForgotten() {
-            started();
+        void isForgottenOnceReadableAgain() {
+            startFeed();
             store.setNonText("worker/w1");
             advance();
-            good("w1");
+            addWorker("w1");
             advance();
             assertEquals(Set.of("w1", "w2"), listed());
             assertEquals(List.of(), unreadable.snapshot());
         }
 
         @Test
-        void thatIsRemovedIsForgotten() {
-            started();
+        void isForgottenOnceRemoved() {
+            startFeed();
             store.set("worker/w1", BAD);
             advance();
             store.remove("worker/w1");
@@ -115,55 +115,55 @@
         }
 
         @Test
-        void doesNotHoldUpWhatComesWithIt() {
-            started();
+        void doesNotBlockOtherChanges() {
+            startFeed();
             store.set("worker/w1", BAD);
-            good("w3");
+            addWorker("w3");
             advance();
             assertEquals(Set.of("w2", "w3"), listed());
         }
 
         @Test
-        void isCountedOnceForEachReason() {
-            started();
+        void isCountedOncePerReason() {
+            startFeed();
             for (int i = 0; i < 5; i++) {
                 store.set("worker/w1", BAD);
                 advance();
             }
-            assertEquals(1, counted());
+            assertEquals(1, unreadableCount());
             store.setNonText("worker/w1");
             advance();
-            assertEquals(2, counted());
+            assertEquals(2, unreadableCount());
         }
     }
 
     @Nested
-    class WhereAllAreBad {
+    class OnlyUnreadableRecords {
 
         @Test
-        void noneIsListedUntilOneIsGood() {
+        void listNoWorkerUntilOneIsReadable() {
             store.set("worker/w1", BAD);
             store.setNonText("worker/w2");
-            started();
+            startFeed();
             assertEquals(Set.of(), listed());
-            good("w2");
+            addWorker("w2");
             advance();
             assertEquals(Set.of("w2"), listed());
         }
     }
 
     @Nested
-    class AnyNumberOfBadRecords {
+    class ManyUnreadableRecords {
 
         private static final int MANY = 5_000;
 
         @Test
-        void isRememberedInPartAndCountedInFull() {
+        void areAllCountedButOnlySomeTracked() {
             for (int i = 0; i < MANY; i++) {
                 store.set("worker/bad-" + i, BAD);
             }
-            started();
-            assertEquals(MANY, counted());
+            startFeed();
+            assertEquals(MANY, unreadableCount());
             assertEquals(1_000, unreadable.snapshot().size());
             assertEquals(Set.of("w1", "w2"), listed());
         }
