--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/AdviceService.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/AdviceService.java
@@ -20,9 +20,9 @@
 import org.lupinpaddle.core.run.AdviceAnswer;
 import org.lupinpaddle.core.run.AdviceOrder;
 
-/** The platform's service that knows which workers may run a step. */
+/** The platform service that advises which workers are suitable for a step. */
 public interface AdviceService {
 
-    /** Asks; the future never ends exceptionally, and is empty when there was no answer. */
+    /** Requests advice. The future never completes exceptionally; it is empty if no answer was received. */
     CompletableFuture<Optional<AdviceAnswer>> advise(AdviceOrder order);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/CommitResult.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/CommitResult.java
@@ -18,31 +18,34 @@
 import java.util.List;
 
 /**
- * What became of a commit.
+ * The result of a {@link StoreCommit}.
  *
- * @param outcome what is known
- * @param revision the store's revision of the change; 0 unless it was made
- * @param current the items of the conditions as they stand; empty unless a condition did not hold
+ * @param outcome what is known about the commit
+ * @param revision the store revision created by the commit; 0 unless it was applied
+ * @param current the current items of the conditions' keys; empty unless a condition did not hold
  */
 public record CommitResult(Outcome outcome, long revision, List<StoreItem> current) {
 
-    /** What is known of a commit. */
+    /** What is known about a commit. */
     public enum Outcome {
-        /** All changes are made and durable. */
+        /** All changes are applied and durable. */
         MADE,
-        /** A condition did not hold; nothing was done. */
+        /** A condition did not hold; nothing was changed. */
         CONFLICT,
-        /** The lease has ended; nothing was done. */
+        /** The lease has expired; nothing was changed. */
         LEASE_ENDED,
-        /** The store did not take the call; nothing was done. */
+        /** The store did not accept the call; nothing was changed. */
         REFUSED,
-        /** The store will never take the call as it is, for its form or its size; nothing was done. */
+        /** The store will never accept this commit because of its form or size; nothing was changed. */
         REJECTED,
-        /** No answer: the changes may be made, or may still be made while their conditions hold. */
+        /**
+         * No answer was received: the changes may have been applied, or may still be applied while their conditions
+         * hold.
+         */
         UNKNOWN
     }
 
-    /** Returns the revision that a key has; 0 when it is absent. */
+    /** Returns the current revision of a key; 0 if the key is absent. */
     public long revisionOf(String key) {
         return current.stream()
                 .filter(i -> i.key().equals(key))
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/HoldResult.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/HoldResult.java
@@ -20,9 +20,9 @@
 import org.lupinpaddle.core.run.OrderOutcome;
 
 /**
- * What became of a hold.
+ * The result of a hold order.
  *
- * @param outcome whether it was accepted
- * @param answer what the worker said; null unless it was accepted
+ * @param outcome whether the worker accepted the order
+ * @param answer the worker's answer; null unless the order was accepted
  */
 public record HoldResult(OrderOutcome outcome, @Nullable HoldAnswer answer) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/InstanceOrders.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/InstanceOrders.java
@@ -20,16 +20,22 @@
 import org.lupinpaddle.core.fleet.InstanceList;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 
-/** The platform's list of instances, and orders on them. */
+/** Lists the platform's instances and sends orders for them. */
 public interface InstanceOrders {
 
-    // A call ends within this, so that an owner can tell whether its lease lasts for one more.
-    /** The longest that a call takes, in milliseconds. */
+    // Every call ends within this time, so an owner can tell whether its lease outlasts another call.
+    /** The maximum duration of a call, in milliseconds. */
     long CALL_MILLIS = 700;
 
-    /** Reads all pages of the list; the future ends with a {@link StoreException} when the platform does not serve it. */
+    /**
+     * Reads all pages of the list. The future completes with a {@link StoreException} if the platform does not serve
+     * the call.
+     */
     CompletableFuture<InstanceList> list();
 
-    /** Orders an errand; {@code holder} and {@code fence} name the owner. The future never ends exceptionally. */
+    /**
+     * Orders maintenance or a move of an instance on behalf of the owner that {@code holder} and {@code fence}
+     * identify. The future never completes exceptionally.
+     */
     CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long fence);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/KeyValueStore.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/KeyValueStore.java
@@ -19,44 +19,45 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The platform's store. Answers are linearizable. A future of a call that reads, or concerns a lease, ends
- * with a {@link StoreException} when the store does not serve it; all end within the call's own time limit.
+ * The platform's key-value store. Answers are linearizable. The futures of reads and lease calls complete with a
+ * {@link StoreException} if the store does not serve the call. Every future completes within the time limit of its
+ * call.
  */
 public interface KeyValueStore {
 
-    /** Reads one key. */
+    /** Reads a single key. */
     CompletableFuture<Optional<StoreItem>> read(String key);
 
     /**
-     * Reads the keys with a prefix that follow a key, as many as the store gives at once. How long the answer may take
-     * follows its size: it fails when nothing of it arrives for a time, not because there is much of it.
+     * Reads one page of the items under a prefix, with as many items as the store returns at once. The call takes as
+     * long as data keeps arriving: it fails if none arrives for some time, not because the page is large.
      *
-     * @param after the key that the page follows; empty for the first page
+     * @param after the key after which the page starts; empty for the first page
      */
     CompletableFuture<StorePage> page(String prefix, String after);
 
-    /** Reads all keys with a prefix. */
+    /** Reads all items under a prefix. */
     default CompletableFuture<StoreRange> range(String prefix) {
         return range(prefix, () -> {});
     }
 
-    /** Reads all keys with a prefix; the step is run, on any thread, after each page that has arrived. */
+    /** Reads all items under a prefix and runs {@code onPage}, on any thread, after each page. */
     default CompletableFuture<StoreRange> range(String prefix, Runnable onPage) {
         return new PageReader(this, prefix, onPage).read();
     }
 
-    /** Waits for changes under a prefix after a revision, at most so long; the answer may have none. */
+    /** Waits up to {@code waitMillis} for changes under a prefix after a revision; the result may be empty. */
     CompletableFuture<StoreChanges> watch(String prefix, long afterRevision, long waitMillis);
 
-    /** Makes changes under conditions. The future never ends exceptionally. */
+    /** Applies changes atomically if all conditions hold. The future never completes exceptionally. */
     CompletableFuture<CommitResult> commit(StoreCommit commit);
 
-    /** Opens a lease and returns its number; it runs from when the call arrives. */
+    /** Opens a lease and returns its id. The time to live starts when the call reaches the store. */
     CompletableFuture<Long> openLease(long ttlMillis);
 
-    /** Renews a lease; returns false when it has ended. */
+    /** Renews a lease; returns false if it has expired. */
     CompletableFuture<Boolean> keepLease(long lease);
 
-    /** Ends a lease; its keys go with it. */
+    /** Revokes a lease and removes the keys attached to it. */
     CompletableFuture<Boolean> endLease(long lease);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
@@ -22,14 +22,13 @@
 import org.lupinpaddle.daemon.common.Log;
 
 /**
- * Reads a prefix page by page. What has been read is kept: a page whose answer was retryable is asked for again by itself, so
- * that a long read over a poor connection comes to an end.
+ * Reads the items under a prefix page by page. Pages already read are kept: if the answer to a page is lost, only
+ * that page is requested again, so a long read completes even over a poor connection.
  */
 final class PageReader {
 
-    // A page is bounded by the time in which nothing of it arrives, so the next try is not likelier to fail; three
-    // retryable
-    // in a row speak against the store or the link.
+    // A page times out only when no data arrives, so a repeated request is not more likely to fail. Three failures in
+    // a row indicate a fault of the store or the link.
     private static final int MAX_ATTEMPTS = 3;
 
     private final KeyValueStore store;
@@ -44,7 +43,7 @@
         this.onPage = onPage;
     }
 
-    /** Reads all pages; the future ends exceptionally when one of them can not be had. */
+    /** Reads all pages; the future completes exceptionally if a page cannot be read. */
     CompletableFuture<StoreRange> read() {
         return page(1);
     }
@@ -58,7 +57,7 @@
 
     private CompletableFuture<StoreRange> onPageRead(StorePage p) {
         onPage.run();
-        // A watch from the first page's revision shows what has changed on any page since.
+        // A watch from the first page's revision reports every change made since to any page.
         revision = items.isEmpty() ? p.revision() : revision;
         items.addAll(p.items());
         return p.more() && !p.items().isEmpty()
@@ -68,9 +67,10 @@
 
     private CompletableFuture<StoreRange> onFailure(Throwable why, int attempt) {
         Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
-        // A refusal says that the store is busy or the rate used up for a moment: nothing that was read is wrong.
+        // A refusal means that the store is busy or its rate limit is exceeded for a moment; the pages already read
+        // remain valid.
         boolean retryable = cause instanceof StoreException e && e.kind() != StoreException.Kind.HISTORY_GONE;
-        // Before the first page there is nothing to keep: whoever reads decides when to begin again.
+        // Before the first page there is nothing to keep; the caller decides when to start again.
         if (items.isEmpty() || !retryable || attempt >= MAX_ATTEMPTS) {
             return CompletableFuture.failedFuture(cause);
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/PlatformRecords.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/PlatformRecords.java
@@ -21,30 +21,30 @@
 import org.lupinpaddle.core.queue.JobConfiguration;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
-/** Where the records lie that the operators and the workers write to the store, and what they say. */
+/** Locates and parses the records that operators and workers write to the store. */
 public interface PlatformRecords {
 
     /** Returns the key of the operators' configuration. */
     String configurationKey();
 
-    /** Returns the prefix of the workers' own records. */
+    /** Returns the key prefix of the records that workers write about themselves. */
     String workerPrefix();
 
-    /** Returns the configuration that the item holds, or what is wrong with it. */
+    /** Parses the configuration, or returns why it is unreadable. */
     Either<Unreadable, JobConfiguration> configuration(StoreItem item);
 
-    /** Returns what a worker says of itself, or what is wrong with it. */
+    /** Parses a worker's record, or returns why it is unreadable. */
     Either<Unreadable, WorkerFacts> worker(StoreItem item);
 
-    /** Returns the prefix of the waves of upkeep that the operators ask for. */
+    /** Returns the key prefix of the maintenance waves that operators request. */
     String wavePrefix();
 
-    /** Returns the wave of upkeep that the item holds, or what is wrong with it. */
+    /** Parses a maintenance wave, or returns why it is unreadable. */
     Either<Unreadable, UpkeepWave> wave(StoreItem item);
 
-    /** Returns the key under which the operators look for how a wave stands. */
+    /** Returns the key under which operators read the status of a wave. */
     String waveStatusKey(long wave);
 
-    /** Returns what the operators are told of a wave. */
+    /** Formats the status of a wave for operators. */
     String waveStatus(long wave, boolean completed);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreChanges.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreChanges.java
@@ -19,18 +19,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What has changed under a prefix.
+ * The changes under a prefix that a watch returns.
  *
  * @param changes the changes, oldest first
- * @param revision from where the next watch goes on
+ * @param revision the revision from which the next watch continues
  */
 public record StoreChanges(List<Change> changes, long revision) {
 
     /**
-     * One change.
+     * A change to one key.
      *
      * @param key the key
-     * @param item the item as it was written; null when it has gone
+     * @param item the item as written; null if it was removed
      */
     public record Change(String key, @Nullable StoreItem item) {}
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreCommit.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreCommit.java
@@ -19,28 +19,28 @@
 import java.util.List;
 
 /**
- * Changes that are made all together or not at all.
+ * Changes that are applied atomically if all conditions hold.
  *
- * @param conditions all must hold
- * @param puts what is written
- * @param removals the keys that are removed
+ * @param conditions the conditions
+ * @param puts the values to write
+ * @param removals the keys to remove
  */
 public record StoreCommit(List<Condition> conditions, List<Put> puts, List<String> removals) {
 
     /**
-     * A condition on one key.
+     * Requires a key to have a given revision.
      *
      * @param key the key
-     * @param revision the revision that it must have; 0 means that it must be absent
+     * @param revision the required revision; 0 requires the key to be absent
      */
     public record Condition(String key, long revision) {}
 
     /**
-     * A value to be written.
+     * A value to write.
      *
      * @param key the key
      * @param value the value, as text
-     * @param lease the lease with which it goes; 0 for none
+     * @param lease the lease with which the key expires; 0 for none
      */
     public record Put(String key, String value, long lease) {}
 
@@ -68,13 +68,13 @@
             return put(key, value, 0);
         }
 
-        /** Adds a value that goes with a lease. */
+        /** Adds a value that expires with a lease. */
         public Builder put(String key, String value, long lease) {
             puts.add(new Put(key, value, lease));
             return this;
         }
 
-        /** Adds a key to be removed. */
+        /** Adds a key to remove. */
         public Builder remove(String key) {
             removals.add(key);
             return this;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreException.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreException.java
@@ -15,26 +15,26 @@
  */
 package org.lupinpaddle.daemon.port;
 
-/** The store did not serve a call that reads, or that concerns a lease. */
+/** Thrown when the store does not serve a read or a lease call. */
 public final class StoreException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     private final Kind kind;
 
-    /** Why a call was not served. */
+    /** Why the call was not served. */
     public enum Kind {
-        /** No answer, or none that can be understood. */
+        /** No answer, or an answer that cannot be parsed. */
         AWAY,
-        /** The store refused the call: it is down, or the rate is used up. */
+        /** The store refused the call because it is down or the rate limit is exceeded. */
         REFUSED,
-        /** The changes asked for are not kept any more. */
+        /** The store no longer keeps the history from the requested revision on. */
         HISTORY_GONE
     }
 
-    /** Makes the exception; {@code what} names the call and what was answered. */
-    public StoreException(Kind kind, String what) {
-        super(what);
+    /** Creates the exception; {@code message} names the call and the answer. */
+    public StoreException(Kind kind, String message) {
+        super(message);
         this.kind = kind;
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreItem.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreItem.java
@@ -20,32 +20,32 @@
 import org.lupinpaddle.core.common.Unreadable;
 
 /**
- * One item of the platform's store.
+ * An item of the platform's store.
  *
- * @param key its key
- * @param value its value, as text; empty when its bytes are no text
- * @param isText whether its bytes are text
- * @param revision the revision of its newest change
- * @param lease the lease it goes with; 0 for none
+ * @param key the key
+ * @param value the value as text; empty if the bytes are not valid text
+ * @param isText whether the bytes are valid text
+ * @param revision the revision of the latest change
+ * @param lease the lease with which the item expires; 0 for none
  */
 public record StoreItem(String key, String value, boolean isText, long revision, long lease) {
 
-    /** Makes an item whose value is text. */
+    /** Creates an item whose value is text. */
     public StoreItem(String key, String value, long revision, long lease) {
         this(key, value, true, revision, lease);
     }
 
-    /** Returns an item whose bytes are no text: whoever reads it learns so, and the items beside it are not affected. */
+    /** Returns an item whose bytes are not valid text. Only reading this item fails; other items are not affected. */
     public static StoreItem notText(String key, long revision, long lease) {
         return new StoreItem(key, "", false, revision, lease);
     }
 
-    /** Returns the text, or that there is none. */
+    /** Returns the text, or an error if the bytes are not valid text. */
     public Either<Unreadable, String> text() {
         return isText ? Either.right(value) : Either.left(Unreadable.Reason.NOT_TEXT.whole());
     }
 
-    /** Returns the record of ours that the item holds, or what is wrong with it. */
+    /** Parses the value as a record of the given type, or returns why it is unreadable. */
     public <T> Either<Unreadable, T> read(Class<T> type) {
         return text().flatMap(t -> RecordCodec.read(t, type));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StorePage.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StorePage.java
@@ -20,8 +20,8 @@
 /**
  * One page of the items under a prefix.
  *
- * @param items the items, in the order of their keys
- * @param revision the store's revision as the page was read
- * @param more whether other items follow
+ * @param items the items, ordered by key
+ * @param revision the store revision at which the page was read
+ * @param more whether more items follow
  */
 public record StorePage(List<StoreItem> items, long revision, boolean more) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreRange.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/StoreRange.java
@@ -20,7 +20,7 @@
 /**
  * All items under a prefix.
  *
- * @param items the items; read page by page, so not one moment's state
- * @param revision the store's revision at the first page: a watch from here misses nothing
+ * @param items the items; they are read page by page, so they are not a snapshot of a single revision
+ * @param revision the store revision of the first page; a watch from this revision misses no change
  */
 public record StoreRange(List<StoreItem> items, long revision) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/WorkerOrders.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/WorkerOrders.java
@@ -22,7 +22,10 @@
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
 
-/** Orders to workers. The futures never end exceptionally, and all end within the call's own time limit. */
+/**
+ * Sends orders to workers. The futures never complete exceptionally, and each completes within the time limit of its
+ * call.
+ */
 public interface WorkerOrders {
 
     /** Starts a run. */
@@ -31,9 +34,9 @@
     /** Stops a run. */
     CompletableFuture<OrderOutcome> stop(StopOrder order, long fence);
 
-    /** Sets the share of its speed at which a run works. */
+    /** Sets the fraction of full speed at which a run works. */
     CompletableFuture<OrderOutcome> pace(PaceOrder order, long fence);
 
-    /** Keeps what runs and looks. */
+    /** Extends the time for which the worker keeps its tasks running, and reports their state. */
     CompletableFuture<HoldResult> hold(HoldOrder order, long fence);
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/port/PageReaderTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/port/PageReaderTest.java
@@ -24,7 +24,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 
-/** What has been read of many pages is kept while the store does not serve the next one. */
+/** Tests that the pages already read are kept when the store refuses the next one. */
 class PageReaderTest {
 
     private static final int PAGES = 4;
@@ -33,7 +33,7 @@
     private final List<String> asked = new ArrayList<>();
     private int refusals = 1;
 
-    /** A store whose third page is refused once, as one is whose rate is used up for a moment. */
+    /** A store that refuses the third page once, as when its rate limit is exceeded for a moment. */
     private final KeyValueStore store = (KeyValueStore) Proxy.newProxyInstance(
             getClass().getClassLoader(), new Class<?>[] {KeyValueStore.class}, (p, m, args) -> {
                 if (!m.getName().equals("page")) {
