--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ActiveWorkspaces.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ActiveWorkspaces.java
@@ -18,11 +18,11 @@
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /**
- * The workspaces of the configuration that is known here.
+ * The workspaces of the configuration that is known to this entry.
  *
  * @param key the key of the configuration in the store
  * @param revision the revision of the configuration
- * @param confirmed whether the watch of the configuration works, so that a newer one is known here soon
+ * @param confirmed whether the configuration watch works, so that this entry soon learns of a newer configuration
  * @param workspaces the workspaces
  */
 record ActiveWorkspaces(String key, long revision, boolean confirmed, Workspaces workspaces) {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
@@ -31,12 +31,12 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * The operators' configuration in force at this entry. It never goes back: an item with an older revision
- * than the one in force is dropped.
+ * Provides the operators' configuration in force at this entry. The configuration never moves backwards: items with a
+ * revision older than the one in force are ignored.
  */
 final class ConfigurationFeed implements PrefixWatch.Listener, AutoCloseable {
 
-    // Longer than the age that the newest answer of an idle watch reaches, which is twice its waiting time.
+    // Must exceed the age that the latest answer of an idle watch reaches, which is twice the watch timeout.
     private static final long CONFIRMED_MILLIS = 3_300;
     // Identifies workspaces in reports of unreadable entries; they have no store keys of their own.
     private static final String WORKSPACE_PREFIX = "configuration/workspace/";
@@ -70,12 +70,12 @@
         watch.start();
     }
 
-    /** Returns the configuration in force; nothing before the first was read. */
+    /** Returns the configuration in force; empty until the first one has been read. */
     Optional<JobConfiguration> current() {
         return Optional.ofNullable(configuration);
     }
 
-    /** Returns the store's newest revision of the configuration that is known here, which is in force if it is readable. */
+    /** Returns the latest configuration revision known to this entry. That revision is in force if it is readable. */
     long revision() {
         return revision;
     }
@@ -86,17 +86,20 @@
         return new ActiveWorkspaces(records.configurationKey(), revision, isConfirmed(), known);
     }
 
-    /** Returns whether the watch works, so that a newer configuration is known here soon. */
+    /** Returns whether the watch works, so that this entry soon learns of a newer configuration. */
     boolean isConfirmed() {
         return loop.clock().millis() - confirmedAt() <= CONFIRMED_MILLIS;
     }
 
-    /** Returns since when a newer configuration may exist that is not known here. */
+    /** Returns the time since which a newer configuration may exist that this entry does not know. */
     long confirmedAt() {
         return watch.confirmedAt();
     }
 
-    /** Reads the configuration; when the future ends well, the newest one is in force here. */
+    /**
+     * Reads the configuration. After the future completes normally, the latest configuration is in force at this
+     * entry.
+     */
     CompletableFuture<Optional<JobConfiguration>> refresh() {
         CompletableFuture<Optional<JobConfiguration>> pending = latestRead;
         if (pending != null && !pending.isDone()) {
@@ -129,8 +132,8 @@
         }
         JobConfiguration read = unreadable.recordOrNull(Kind.CONFIGURATION, item, records.configuration(item));
         if (read == null) {
-            // The last one that could be read holds on; jobs are taken on the condition that the store has nothing
-            // newer.
+            // The last readable configuration stays in force. Jobs are accepted only on the condition that the store
+            // holds no newer one.
             revision = configuration == null ? revision : item.revision();
             return;
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/DecisionLog.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/DecisionLog.java
@@ -19,12 +19,15 @@
 import org.lupinpaddle.core.run.SchedulerEvent;
 import org.lupinpaddle.daemon.common.Log;
 
-/** The one place where a scheduler's decisions become log lines, so that a reader finds all of their keys. */
+/**
+ * Writes scheduler decisions to the log. Keeping all of these log lines in one class shows a reader every key that
+ * they use.
+ */
 final class DecisionLog {
 
     private DecisionLog() {}
 
-    /** Writes a decision of the owner of a service, with the fence under which it was taken. */
+    /** Logs a decision of a service's owner with the fencing token under which it was made. */
     static void write(String service, long fence, SchedulerEvent e) {
         Log.info(
                 "decision",
@@ -50,7 +53,7 @@
                 e.detail());
     }
 
-    /** Writes how much a service has to do and with what. */
+    /** Logs the load of a service and the workers available to it. */
     static void writeLoad(String service, long fence, LoadSummary l) {
         Log.info(
                 "service-load",
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -31,7 +31,7 @@
 import org.lupinpaddle.daemon.port.KeyValueStore;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** Which workers of a service the owner of the fleet asks to be emptied, and the answers to that. */
+/** Follows the requests of the fleet's owner to evacuate workers of a service, and answers them. */
 final class EvacuationFeed implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 150;
@@ -44,16 +44,19 @@
     private final BiConsumer<Set<String>, Set<String>> onChange;
     private final Map<String, StoreItem> requests = new HashMap<>();
     private boolean read;
-    /** Workers whose request was readable once and is not now; such a one is not answered. */
+    /** Workers whose request was readable before but is not now; these requests are not answered. */
     private final Set<String> unreadableWorkers = new HashSet<>();
-    /** The revision of the request that was answered last, by worker: requests anew, it is answered anew. */
+    /**
+     * The revision of the last answered request by worker. A repeated request has a newer revision and is answered
+     * again.
+     */
     private final Map<String, Long> answered = new HashMap<>();
 
     /**
-     * Makes the feed.
+     * Creates the feed.
      *
      * @param records writes the answers
-     * @param onChange is told the workers that are to be empty, and those of them that other work waits for
+     * @param onChange receives the workers to evacuate and, of these, the ones whose evacuation is urgent
      */
     EvacuationFeed(
             KeyValueStore store,
@@ -75,7 +78,7 @@
         watch.start();
     }
 
-    /** Returns whether it is known which workers are to be emptied. */
+    /** Returns whether the evacuation requests have been read. */
     boolean isRead() {
         return read;
     }
@@ -102,7 +105,10 @@
         onChange.accept(requests.keySet(), urgent);
     }
 
-    /** A request that was good is not taken back by what nobody can read: its errand may be about to be ordered. */
+    /**
+     * Keeps the last readable version of a request that has become unreadable, because the instance order that
+     * depends on it may be about to be sent.
+     */
     private void keepLastReadable(StoreItem i, Map<String, StoreItem> before) {
         String worker = JobKeys.evacuatedWorker(i.key());
         StoreItem good = before.get(worker);
@@ -113,8 +119,8 @@
     }
 
     /**
-     * Answers that a worker carries nothing. A request that is written again, because its writer got no answer, has
-     * lost what was answered before; so each one that does not show the answer gets it.
+     * Reports that a worker runs no tasks. If the requester got no answer to its write it writes the request again,
+     * which overwrites the earlier report; therefore every request that does not show the report is answered.
      */
     void answerEmpty(String worker) {
         StoreItem item = requests.get(worker);
@@ -140,7 +146,7 @@
         });
     }
 
-    /** Returns the request that an item holds, or what is wrong with it. */
+    /** Parses an evacuation request, or returns why it is unreadable. */
     static Either<Unreadable, EvacuationRecord> read(StoreItem i) {
         return i.text().flatMap(t -> EvacuationRecord.read(t, JobKeys.evacuatedWorker(i.key())));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
@@ -29,15 +29,15 @@
 import org.lupinpaddle.daemon.port.StoreCommit;
 
 /**
- * Records that the owner of a duty writes, on two conditions: that it still owns the duty, and that each record
- * is the one last known. The second keeps a write that got no answer from replacing a newer one when it is
- * carried out late.
+ * Writes the records of a duty's owner. A write has two conditions: the entry still owns the duty, and each record
+ * still has the last known revision. The second condition keeps an unanswered write that is applied late from
+ * overwriting a newer record.
  */
 final class FencedRecordWriter {
 
     private static final long RETRY_MILLIS = 150;
-    // A call takes 32 rows: one for the ownership, and a condition and a value for each record.
-    /** The most records of one write. */
+    // A store call accepts 32 rows: one for the ownership condition, and a condition and a value for each record.
+    /** The maximum number of records in one write. */
     static final int MAX_RECORDS_PER_WRITE = 15;
 
     private final KeyValueStore store;
@@ -45,23 +45,26 @@
     private final String ownerKey;
     private final long fence;
     private final Map<String, Long> revisions = new HashMap<>();
-    /** The newest write of this owner that was answered, also of records that it has removed. */
+    /** The revisions of this owner's latest answered writes by key, including removals. */
     private final Map<String, Long> written = new HashMap<>();
 
     private final List<Map<String, String>> queue = new ArrayList<>();
     private boolean writing;
-    /** So many of the next writes go by themselves, since the store refused them merged. */
+    /** The number of following writes to send one by one because the store rejected them when merged. */
     private int unmergedWrites;
 
-    /** What became of a write. */
+    /** The result of a write. */
     enum Outcome {
         /** The records are durable. */
         SAVED,
-        /** They may not be; try again. */
+        /** The records may not be durable; the write should be repeated. */
         RETRY,
-        /** They are not, since another wrote one of them; its revision is known now, so the next try may hold. */
+        /**
+         * The records were not written because another writer changed one of them. Its revision is known now, so a
+         * repeated write may succeed.
+         */
         OVERTAKEN,
-        /** They will never be as they are: the store takes no such record. */
+        /** The store will never accept these records as they are. */
         REJECTED,
         /** Another entry owns the duty. */
         NOT_OWNER
@@ -74,35 +77,42 @@
         this.fence = fence;
     }
 
-    /** Takes in the revision that the next write of a record is to meet. */
+    /** Sets the revision that the next write of a record expects. */
     void expectRevision(String key, long revision) {
         revisions.put(key, revision);
     }
 
-    /** Takes in a revision of a record that a watch has shown; a newer one that is known counts more. */
+    /** Records a revision seen by a watch; a newer known revision takes precedence. */
     void observeRevision(String key, long revision) {
         revisions.merge(key, revision, Math::max);
     }
 
     /**
-     * Returns whether a record that a watch shows is the newest as far as this owner knows: it has not written or removed it
-     * since, and is not about to. A watch that is behind would else show an old answer in place of a new request.
+     * Returns whether a record seen by a watch is the latest version known to this owner: the owner has not written
+     * or removed it since and has no write of it queued. Without this check, a watch that lags behind could present
+     * the answer to an old request as the answer to a new one.
      */
     boolean isCurrent(String key, long revision) {
         return revision >= written.getOrDefault(key, 0L) && queue.stream().noneMatch(w -> w.containsKey(key));
     }
 
-    /** Returns how many writes wait for their turn, or for the store. */
+    /** Returns the number of writes that are queued or in progress. */
     int pendingWrites() {
         return queue.size();
     }
 
-    /** Writes values by key, all or none; an empty value removes the record. The outcome is told on the loop. */
+    /**
+     * Writes values by key, all or none; an empty value removes the record. {@code onEnd} receives the outcome on the
+     * event loop.
+     */
     void write(Map<String, String> values, Consumer<Outcome> onEnd) {
         write(values, Map.of(), onEnd);
     }
 
-    /** Does the same, and in the same write puts others whatever lies there now. */
+    /**
+     * Writes values as {@link #write(Map, Consumer)} does, and in the same commit puts {@code others} regardless of
+     * their current revisions.
+     */
     void write(Map<String, String> values, Map<String, String> others, Consumer<Outcome> onEnd) {
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence);
         values.forEach((key, value) -> {
@@ -136,8 +146,9 @@
     }
 
     /**
-     * Writes values in the order of the calls, each until it is durable. What gathers while the store is asked goes
-     * merged: a write takes the store 10 ms and more, and an owner may have a hundred of them at a time.
+     * Writes values in call order and repeats each write until it is durable. Writes that queue up while the store is
+     * busy are merged, because a write takes the store 10 ms or more and an owner may have a hundred of them at a
+     * time.
      */
     void writeInOrder(Map<String, String> values, Runnable notOwner) {
         queue.add(new LinkedHashMap<>(values));
@@ -172,18 +183,21 @@
         });
     }
 
-    /** Leaves a write out that the store will never take; where several went merged, they are written one by one. */
+    /**
+     * Drops a write that the store will never accept. If several writes were merged, they are repeated one by one to
+     * find it.
+     */
     private void skipRejected(int mergedCount) {
         if (mergedCount > 1) {
             unmergedWrites = mergedCount;
         } else {
             Map<String, String> bad = queue.remove(0);
             bad.forEach((key, value) -> Log.warn(
-                    "record-rejected", "key", key, "bytes", value.length(), "why", "the store takes no such record"));
+                    "record-rejected", "key", key, "bytes", value.length(), "why", "the store rejected the record"));
         }
     }
 
-    /** Puts merged what one write takes of what has waited longest; of one record the newest value counts. */
+    /** Merges the oldest queued writes up to the size of one commit; the newest value of each record is used. */
     private int mergeQueued(Map<String, String> merged) {
         int mergedCount = 0;
         for (Map<String, String> next : queue) {
@@ -199,7 +213,7 @@
         return mergedCount;
     }
 
-    /** Removes records that nobody needs any more; {@code onGone} is told on the loop when they are gone. */
+    /** Removes records that are no longer needed; {@code onGone} runs on the event loop once they are removed. */
     void remove(List<String> keys, Runnable onGone) {
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence);
         for (String key : keys) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -51,32 +51,33 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * Runs the planner of the fleet while this entry owns it. The platform need not check fences of orders, so an
- * order goes out only while the lease, counted from when its newest renewal was sent, outlasts the call, and only
- * after a write under the owner's fence has told which instances are ordered. A successor leaves those alone for the
- * time that the platform asks between two owners' orders of one instance; all others it may order at once.
+ * Runs the fleet planner while this entry owns the fleet. The platform need not check the fencing tokens of orders.
+ * Therefore an order is sent only while the lease, counted from when its latest renewal was sent, outlasts the call,
+ * and only after a write under the owner's fence has recorded which instances are ordered. A successor does not order
+ * these instances for the time that the platform requires between two owners' orders of one instance; it may order
+ * all others at once.
  */
 final class FleetHost implements FleetPort, PrefixWatch.Listener, AutoCloseable {
 
     private static final long TICK_MILLIS = 100;
-    // One line a second: an owner that is asked for more than it can write shows here first.
+    // One line per second; it shows first when an owner has more to write than the store accepts.
     private static final long LOAD_LOG_MILLIS = 1_000;
     private static final long LIST_MILLIS = 500;
-    // The ownership that a write has shown counts for so long after it was sent; an entry that was frozen meanwhile
-    // writes again. A slow store takes 250 ms for its answer.
+    // The time for which a write confirms the ownership, counted from when it was sent; an entry that was suspended
+    // meanwhile writes again. A slow store takes 250 ms to answer.
     private static final long MAX_CONFIRMATION_AGE_MILLIS = 700;
-    // An order reaches the platform at the latest so long after its record was written.
+    // The maximum time between writing the record of an order and the order reaching the platform.
     private static final long ORDER_DEADLINE_MILLIS = MAX_CONFIRMATION_AGE_MILLIS + InstanceOrders.CALL_MILLIS;
-    // So often the record of orders is written anew, with how old they are by then and without those too old to matter:
-    // a successor leaves few instances alone, and none for longer than it must.
+    // Interval at which the record of recent orders is rewritten with their current ages and without expired ones, so
+    // that a successor holds back as few instances as possible, and none for longer than necessary.
     private static final long PRUNE_EVERY_MILLIS = 500;
-    // Between two looks whether what a hand-over waits for is written: a write takes 10 ms.
+    // Interval at which a hand-over checks whether the pending writes are durable; a write takes 10 ms.
     private static final long HAND_OVER_CHECK_MILLIS = 10;
     private static final long RETRY_MILLIS = 150;
-    /** Stands before the names of instances whose rows can not be read. */
+    /** Key prefix for instances whose rows are unreadable. */
     private static final String INSTANCE_PREFIX = "instance/";
 
-    // Between the check of the lease and the order's way out.
+    // Margin between checking the lease and sending the order.
     private static final long SLACK_MILLIS = 100;
 
     private final Context context;
@@ -91,36 +92,39 @@
     private final StartupWatchdog watchdog;
     private final long wonAt;
     private boolean earlierOrdersRead;
-    /** Whether which instances were ordered lately could not be read; then it is not overwritten either. */
+    /** Whether the record of recent orders was unreadable; it is not overwritten either in that case. */
     private boolean earlierOrdersUnreadable;
 
     private boolean writingOrders;
-    /** Whether the newest write of the record was answered: while the store loses answers it is written for orders only. */
+    /**
+     * Whether the latest write of the record was answered. While the store loses answers, the record is written only
+     * for new orders.
+     */
     private boolean recordSaved;
 
     private @Nullable CompletableFuture<Void> handedOver;
-    /** Whether the successor has been told which instances it has to leave alone. */
+    /** Whether the successor has been told which instances it must not order yet. */
     private boolean successorInformed;
 
     private long nextSuccessorWriteAt = Long.MIN_VALUE;
-    /** Whether the entry ends with the hand-over. */
+    /** Whether the entry shuts down after the hand-over. */
     private boolean shuttingDown;
 
     private boolean closed;
 
     /**
-     * What the planner's host is given by its entry.
+     * The entry's components that the host uses.
      *
      * @param name the entry's name
      * @param store the platform's store
-     * @param instances the list of instances and orders on them
-     * @param names where the operators' records lie
+     * @param instances lists and orders instances
+     * @param names locates the operators' records
      * @param loop the event loop
      * @param ownership this entry's lease
-     * @param wall the time of day
-     * @param timing the planner's times
-     * @param meters the entry's figures
-     * @param unreadable entries of the store that can not be read
+     * @param wall the wall clock
+     * @param timing the planner's timing
+     * @param meters the entry's metrics
+     * @param unreadable the unreadable entries of the store
      */
     record Context(
             String name,
@@ -134,7 +138,7 @@
             JobMetrics meters,
             UnreadableEntries unreadable) {
 
-        /** Returns how long after a change of owner an instance that was ordered lately is left alone. */
+        /** Returns how long after a change of owner a recently ordered instance must not be ordered. */
         static long takeOverMillis(long ownerLeaseMillis) {
             return ORDER_DEADLINE_MILLIS + ownerLeaseMillis + SLACK_MILLIS;
         }
@@ -150,7 +154,7 @@
                 context.loop,
                 () -> !closed && !earlierOrdersRead,
                 context.ownership::reachesStore,
-                () -> context.ownership.deferToOthers(JobNode.FLEET, fence, "the fleet's records can not be read"));
+                () -> context.ownership.deferToOthers(JobNode.FLEET, fence, "the fleet's records cannot be read"));
         owned = new FencedRecordWriter(context.store, context.loop, JobNode.FLEET, fence);
         records = new PrefixWatch(context.store, context.loop, JobKeys.fleet(), this);
         waves = new PrefixWatch(
@@ -206,7 +210,7 @@
                 }));
     }
 
-    /** The rows have no keys and no revisions of the store; their instances' names stand for them. */
+    /** Reports unreadable rows under their instance names, because rows have no store keys or revisions. */
     private void reportUnreadable(InstanceList all) {
         Map<String, Unreadable> byKey = new HashMap<>();
         all.unreadable().forEach((id, why) -> byKey.put(INSTANCE_PREFIX + id, why));
@@ -246,7 +250,10 @@
         recordsChanged();
     }
 
-    /** The first read came after the ownership was won: no earlier owner can have added to the record since. */
+    /**
+     * Reads the orders of earlier owners. The first read follows the acquisition of the ownership, so no earlier
+     * owner can have added to the record since.
+     */
     private void readEarlierOrders() {
         earlierOrdersRead = true;
         records.items().stream()
@@ -260,7 +267,8 @@
                     }
                 });
         if (earlierOrdersUnreadable) {
-            // Any instance may have been ordered lately: none is, until no earlier owner's order can be under way.
+            // Any instance may have been ordered recently, so none is ordered until no order of an earlier owner can
+            // still be in flight.
             Log.warn("earlier-orders-unknown", "fence", fence, "waits-millis", context.timing.takeOverMillis());
             context.loop.after(context.timing.takeOverMillis(), this::onEarlierOrdersExpired);
             return;
@@ -275,7 +283,7 @@
         planner.onEarlierOrders(Map.of());
     }
 
-    /** Instances that a life which is over has ordered need not be left alone. */
+    /** Releases the instances that were ordered by processes which have ended. */
     private void dropOrdersOfEndedLives() {
         int over = ordered.dropEnded(context.ownership::isOver);
         Map<String, Long> until = ordered.blockedUntil();
@@ -364,7 +372,7 @@
         }
     }
 
-    /** Orders that are asked for in one pass go out together. */
+    /** Collects the orders of one planning pass and sends them together. */
     @Override
     public void order(String instance, Errand errand) {
         pendingOrders.put(instance, errand);
@@ -372,8 +380,9 @@
     }
 
     /**
-     * Writes which instances are about to be ordered, under the condition that this entry still owns the fleet, then
-     * orders: a lease can be renewed after its keys are gone, and a successor has to know.
+     * Records which instances are about to be ordered, on condition that this entry still owns the fleet, and then
+     * sends the orders. The record is required because a lease can be renewed after its keys are gone, and because a
+     * successor has to know the orders.
      */
     private void sendOrders() {
         if (closed || isHandingOver() || writingOrders || pendingOrders.isEmpty()) {
@@ -401,7 +410,7 @@
             recordSaved = outcome == FencedRecordWriter.Outcome.SAVED;
             onEnd.accept(outcome);
             if (outcome == FencedRecordWriter.Outcome.NOT_OWNER) {
-                context.ownership.giveUp(JobNode.FLEET, fence, "its key is not this owner's any more");
+                context.ownership.giveUp(JobNode.FLEET, fence, "this entry no longer owns the fleet");
             }
             context.loop.execute(this::sendOrders);
         });
@@ -420,11 +429,11 @@
     }
 
     /**
-     * Gives no more orders and tells the successor so. Where this process ends, only instances whose order has no answer yet
-     * must be left alone, those that an owner before this one ordered lately, whose process may go on, and those counted
-     * that are down for upkeep; where it lives on, all that were ordered lately. The future ends when that is durable, and
-     * with it all records that were to be written before. Its caller waits only for so long; the successor then goes by the
-     * records as they are.
+     * Stops sending orders and records for the successor which instances it must not order yet. If this process ends,
+     * these are the instances whose order is unanswered, those ordered recently by an earlier owner whose process may
+     * still run, and those that are down for maintenance and count against its limit. If this process lives on, they
+     * are all recently ordered instances. The future completes when this record and all writes queued before it are
+     * durable. The caller waits only for a limited time; after that the successor uses the records as they are.
      */
     CompletableFuture<Void> handOver(HandOverReason why) {
         if (handedOver == null) {
@@ -454,7 +463,7 @@
     private void writeOrdersForSuccessor() {
         if (shuttingDown) {
             Set<String> down = planner.inUpkeep();
-            // What others have ordered is as recent as before: they may live, and be in touch.
+            // Orders of other owners are kept: their processes may still run and reach the platform.
             String own = context.ownership.life();
             ordered.keepOnly((i, life) -> !life.equals(own) || unanswered.contains(i) || down.contains(i));
         }
@@ -492,7 +501,7 @@
             return;
         }
         if (o == InstanceOrderOutcome.FENCED) {
-            context.ownership.giveUp(JobNode.FLEET, fence, "an order was refused by a fence");
+            context.ownership.giveUp(JobNode.FLEET, fence, "an order was rejected because of its fence");
         }
         planner.onOrdered(instance, errand, o);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverCoordinator.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverCoordinator.java
@@ -22,20 +22,20 @@
 import org.lupinpaddle.daemon.common.Log;
 
 /**
- * The first half of each hand-over: the owner of a duty makes durable what it alone knows, while its key still allows that.
- * The second half, that the key goes, is the {@link OwnershipManager}'s.
+ * Runs the first half of a hand-over, in which the owner of a duty makes the state that only it knows durable while
+ * its key still permits writes. {@link OwnershipManager} runs the second half and removes the key.
  */
 final class HandOverCoordinator {
 
-    // A write without an answer is given up after 1 s, written again 150 ms later and answered within 250 ms by a slow
-    // store. An entry that stops serves on for 3 s, so this takes nothing of a planned stop's time; meanwhile nobody
-    // starts the service's jobs.
-    /** How long a hand-over waits for its owner, in milliseconds. */
+    // An unanswered write is given up after 1 s, repeated 150 ms later and answered within 250 ms by a slow store. A
+    // stopping entry serves for 3 s more, so this does not delay a planned stop. No jobs of the service start
+    // meanwhile.
+    /** The maximum time that a hand-over waits for the owner, in milliseconds. */
     static final long TIMEOUT_MILLIS = 1_500;
 
     private final EventLoop loop;
     private final OwnershipManager.Listener listener;
-    /** Fences of duties whose hand-over is under way. */
+    /** Fences of the duties that are being handed over. */
     private final Set<Long> inProgress = new HashSet<>();
 
     HandOverCoordinator(EventLoop loop, OwnershipManager.Listener listener) {
@@ -47,7 +47,10 @@
         return inProgress.contains(fence);
     }
 
-    /** Asks the owner of a duty to get ready; the future ends when it is, and after {@link #TIMEOUT_MILLIS} in any case. */
+    /**
+     * Asks the owner of a duty to prepare; the future completes when it has done so, or after {@link
+     * #TIMEOUT_MILLIS}.
+     */
     CompletableFuture<Void> begin(String duty, long fence, HandOverReason why) {
         long startedAt = loop.clock().millis();
         inProgress.add(fence);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverReason.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverReason.java
@@ -15,11 +15,11 @@
  */
 package org.lupinpaddle.daemon.jobs;
 
-/** Why an owner hands a duty over; it decides what the next owner has to reckon with. */
+/** The reason for a hand-over, which determines what the next owner has to expect. */
 enum HandOverReason {
-    /** Another entry had better do it. This one lives on, and what it has ordered may still be under way. */
+    /** Another entry is better suited. This entry lives on, and its orders may still be in flight. */
     TO_ANOTHER_ENTRY(false),
-    /** The entry shutdown as planned: nothing of it is heard any more once its answers are in. */
+    /** The entry shuts down as planned; nothing of it is in flight once its orders are answered. */
     ENTRY_SHUTDOWN(true);
 
     private final boolean shutdown;
@@ -28,7 +28,7 @@
         this.shutdown = shutdown;
     }
 
-    /** Returns whether the entry's process shutdown. */
+    /** Returns whether the entry's process ends. */
     boolean isShutdown() {
         return shutdown;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobAnswer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobAnswer.java
@@ -19,10 +19,10 @@
 import org.lupinpaddle.core.job.JobState;
 
 /**
- * What a caller is told of a job.
+ * The answer to a caller's request about a job.
  *
- * @param known whether the store answered with what can be read; if not, nothing can be said of the job now
- * @param state the job's state; nothing when there is no such job
+ * @param known whether the store returned readable data; if not, nothing is known about the job at present
+ * @param state the job's state; empty if the job does not exist
  */
 public record JobAnswer(boolean known, Optional<JobState> state) {
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
@@ -42,7 +42,7 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.StoreRange;
 
-/** Answers operators' questions about jobs from the store, so that any entry gives the same answer. */
+/** Answers operators' questions about jobs from the store, so every entry gives the same answer. */
 public final class JobCommandExecutor implements CommandExecutor {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -52,7 +52,6 @@
     private final JobIntake intake;
     private final UnreadableEntriesQuery unreadable;
 
-    /** Makes it. */
     public JobCommandExecutor(KeyValueStore store, PlatformRecords records, JobIntake intake) {
         this.store = store;
         this.records = records;
@@ -92,11 +91,14 @@
                 List.of("this entry runs jobs on the operators' platform; it answers the group job"));
     }
 
-    /** A job as the store has it; without what it is made of once it is over. */
+    /** A job as stored; it has no spec once it is finished. */
     private record StoredJob(
             JobKey key, String service, @Nullable JobSpec spec, JobProgress progress, boolean cancelled) {}
 
-    /** Progress is read last: a job that is over by its record has some, or is gone by then. */
+    /**
+     * Reads all jobs. Progress is read last: a job whose record marks it as finished has progress by then, or has
+     * been removed.
+     */
     private CompletableFuture<List<StoredJob>> allJobs() {
         return store.range(JobKeys.allInputs())
                 .thenCompose(inputs -> store.range(JobKeys.allProgress()).thenApply(progress -> {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
@@ -26,16 +26,16 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** Says in lines for people how far a job is, where its tasks run, and why it waits. */
+/** Describes the state of a job, where its tasks run and why it waits, as text lines for operators. */
 final class JobExplanation {
 
     private JobExplanation() {}
 
     /**
-     * Returns the lines.
+     * Describes a job.
      *
-     * @param owner the entry that owns the job's service; empty when nobody does
-     * @param wallMillis the time of day
+     * @param owner the entry that owns the job's service; empty if there is none
+     * @param wallMillis the current wall-clock time
      */
     static List<String> of(JobSpec spec, JobProgress progress, boolean cancelled, String owner, long wallMillis) {
         List<String> lines = new ArrayList<>();
@@ -50,7 +50,7 @@
         return lines;
     }
 
-    /** Returns the lines of a job that is over, of which only the progress is kept. */
+    /** Describes a finished job, of which only the progress is kept. */
     static List<String> ofFinished(
             JobKey job, String service, JobProgress progress, boolean cancelled, long wallMillis) {
         return List.of(
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
@@ -52,19 +52,19 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * What callers ask of an entry: to take a job, to tell its state, to cancel it, to count what waits. All of it
- * goes by the store, so any entry can answer, and the loss of an entry loses nothing.
+ * Handles the requests of callers: submits and cancels jobs, reports their state and counts pending ones. All state
+ * is kept in the store, so any entry can answer, and the loss of an entry loses nothing.
  */
 public final class JobIntake {
 
-    // An accept is tried this often while the store's answers are lost; then the caller is pendingIn so.
+    // Maximum attempts to accept a job while the store's answers are lost; after that the caller is told that the
+    // outcome is unknown.
     private static final int MAX_ATTEMPTS = 4;
-    // Nor is it tried again after this: callers wait 3 s, and whoever is pendingIn sooner comes back sooner.
+    // No attempt starts after this time: callers wait 3 s, and an early answer lets them retry earlier.
     private static final long ACCEPT_TIMEOUT_MILLIS = 1_200;
     // The greatest age of the configuration at which a request is refused without reading the store.
     private static final long FRESH_MILLIS = 200;
-    // The greatest age of the configuration at which a key is accepted without reading the store; a healthy watch is
-    // A count may be 2 s old when it is pendingIn; a read of a large queue takes some of them.
+    // A reported count may be 2 s old; reading a large queue takes part of that time.
     private static final long COUNT_CACHE_MILLIS = 800;
 
     private final KeyValueStore store;
@@ -73,7 +73,7 @@
     private final ConfigurationFeed configuration;
     private final Clock wall;
     private final BooleanSupplier storeReached;
-    /** Counts by queue, as long as they may be pendingIn. */
+    /** Counts by queue, for as long as they may be reported. */
     private final Map<String, CachedCount> cachedCounts = new HashMap<>();
 
     private record CachedCount(long startedAt, CompletableFuture<OptionalInt> count) {}
@@ -93,19 +93,19 @@
         this.storeReached = storeReached;
     }
 
-    /** Returns the largest body that is taken; nothing before a configuration is in force. */
+    /** Returns the maximum body size; empty until a configuration is in force. */
     public OptionalInt bodyBytes() {
         return configuration.current().stream()
                 .mapToInt(JobConfiguration::bodyBytes)
                 .findFirst();
     }
 
-    /** Returns the time of day by which jobs are accepted. */
+    /** Returns the wall-clock time that is stored as the acceptance time of jobs. */
     long wallMillis() {
         return wall.millis();
     }
 
-    /** Returns whether a configuration is in force here. */
+    /** Returns whether a configuration is in force at this entry. */
     public boolean isConfigured() {
         return configuration.current().isPresent();
     }
@@ -135,10 +135,10 @@
                         .admit(r));
     }
 
-    /** Takes a job. The answer is true at the moment the store onCommitted. */
+    /** Submits a job. The outcome is the one that the store's commit decided. */
     public CompletableFuture<SubmitOutcome> submit(CallerRequest request, String id, Submission s) {
         if (!storeReached.getAsBoolean()) {
-            // Nothing was written, and another entry may reach the store: the caller had better not wait here.
+            // Nothing was written, and another entry may reach the store, so the caller is refused at once.
             Log.info("accept-refused", "job", id, "why", "the store does not answer this entry");
             return CompletableFuture.completedFuture(SubmitOutcome.NOT_TAKEN);
         }
@@ -149,7 +149,7 @@
         });
     }
 
-    /** A job as a caller hands it in, and where. */
+    /** A submission whose outcome is not yet known. */
     private record PendingSubmission(CallerRequest request, String id, Submission job, long until) {}
 
     private CompletableFuture<SubmitOutcome> accept(
@@ -165,7 +165,7 @@
         Submission s = h.job;
         JobSpec spec = new JobSpec(
                 key, q.service(), s.text(), s.steps(), s.repeat(), q.policy(), wall.millis(), a.workspace());
-        // The write holds only under the configuration that was looked at: no entry takes a job by an old one.
+        // The commit requires the configuration that was checked, so no entry accepts a job under an outdated one.
         StoreCommit commit = StoreCommit.builder()
                 .when(records.configurationKey(), configuration.revision())
                 .when(at, 0)
@@ -224,7 +224,10 @@
         });
     }
 
-    /** The queue's own service first; a job stays with the service that its queue had when it was accepted. */
+    /**
+     * Lists the queue's current service first. A job stays with the service that its queue had when the job was
+     * accepted.
+     */
     private List<String> services(QueueConfig q) {
         Set<String> all = new LinkedHashSet<>();
         all.add(q.service());
@@ -265,7 +268,7 @@
                 .getOrElse(JobAnswer.UNKNOWN);
     }
 
-    /** Of a job whose progress can not be read nothing is known: any state might be untrue. */
+    /** Returns an unknown state for a job with unreadable progress, since any definite state could be wrong. */
     private static JobAnswer stateOf(Admission a, StoreItem progress) {
         return progress.read(JobProgress.class)
                 .map(p -> a.canAccess(p.workspace()) ? JobAnswer.of(p.state()) : JobAnswer.NO_JOB)
@@ -273,7 +276,7 @@
                 .getOrElse(JobAnswer.UNKNOWN);
     }
 
-    /** Cancels a job; the future tells whether there is such a job, and is known only when that is durable. */
+    /** Cancels a job. The answer tells whether the job exists, and is known only once the cancellation is durable. */
     public CompletableFuture<JobAnswer> cancel(Admission a, String id) {
         QueueConfig q = Objects.requireNonNull(a.queue(), "the request was not admitted");
         return cancelIn(a, services(q), 0, new JobKey(q.name(), id)).exceptionally(why -> {
@@ -370,7 +373,7 @@
                         loop::execute);
     }
 
-    /** Counts the accepted jobs of a queue that have not begun; nothing when the store can not be asked. */
+    /** Counts the accepted jobs of a queue that have not started; empty if the store cannot be read. */
     public CompletableFuture<OptionalInt> pending(QueueConfig q) {
         return store.read(JobKeys.owner(q.service()))
                 .thenComposeAsync(
@@ -382,7 +385,10 @@
                 });
     }
 
-    /** A report that is older than the ownership is an earlier owner's; the new one is still reading what it left. */
+    /**
+     * Uses the owner's report unless it is older than the ownership: such a report is an earlier owner's, and the new
+     * owner is still reading the stored jobs.
+     */
     private CompletableFuture<OptionalInt> pendingFromReport(QueueConfig q, StoreItem owner) {
         return store.read(JobKeys.report(q.service()))
                 .thenComposeAsync(
@@ -397,7 +403,10 @@
         return OptionalInt.of(report.pendingByQueue().getOrDefault(q.name(), 0));
     }
 
-    /** Many callers ask for one count; they share a read while it is under way, and for a while after it. */
+    /**
+     * Counts from the store. Concurrent callers share a read while it is in progress and its result for some time
+     * afterwards.
+     */
     private CompletableFuture<OptionalInt> pendingFromStore(QueueConfig q) {
         CachedCount known = cachedCounts.get(q.name());
         boolean fresh = known != null
@@ -410,7 +419,7 @@
         return next.count;
     }
 
-    /** Without an owner nothing begins: the jobs that have no progress are those that wait. */
+    /** Counts the jobs without progress; these are the pending ones, since no job starts without an owner. */
     private CompletableFuture<OptionalInt> readCount(QueueConfig q) {
         String jobs = JobKeys.job(q.service(), new JobKey(q.name(), ""));
         String begun = JobKeys.progress(q.service(), new JobKey(q.name(), ""));
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMetrics.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMetrics.java
@@ -25,19 +25,19 @@
 import org.lupinpaddle.daemon.port.CommitResult;
 
 /**
- * All figures of an entry that runs jobs, in one place. Names are dotted; label follows the last dot of a counter
- * tells its cases apart.
+ * All metrics of an entry that runs jobs. Names are dotted; the last component of a counter's name distinguishes its
+ * cases.
  */
 public final class JobMetrics {
 
     private final MetricRegistry registry = new MetricRegistry();
 
-    /** Returns the registry, for whoever serves it. */
+    /** Returns the registry for export. */
     public MetricRegistry registry() {
         return registry;
     }
 
-    /** Counts label became of a submission. */
+    /** Counts the outcome of a submission. */
     public void submitted(SubmitOutcome outcome) {
         count("accepts", outcome);
     }
@@ -52,7 +52,7 @@
         count("quota.writes", outcome);
     }
 
-    /** Counts a decision of a scheduler, and how long its job took to get there. */
+    /** Counts a scheduler decision and, for the start and the end of a job, records the job's age. */
     void decided(SchedulerEvent e) {
         switch (e.kind()) {
             case START_ANSWERED -> count("starts", e.outcome());
@@ -82,7 +82,7 @@
         return e.job() == null ? "" : e.job().queue();
     }
 
-    /** Counts label became of a hold. */
+    /** Counts the outcome of a hold order. */
     void held(OrderOutcome outcome) {
         count("holds", outcome);
     }
@@ -92,23 +92,23 @@
         count("duties", label);
     }
 
-    /** Counts label became of an order on an instance. */
+    /** Counts the outcome of an instance order. */
     void instanceOrdered(Object outcome) {
         count("instance.orders", outcome);
     }
 
-    /** Counts an entry of the store that can not be read, once for each reason why. */
+    /** Counts an unreadable entry of the store, once per reason. */
     void unreadable(UnreadableEntries.Kind kind) {
         count("entries.unreadable", kind.label());
     }
 
-    /** Counts a call to the store by its kind and answer, and how long the answer took. */
+    /** Counts a store call by call type and answer, and records its duration. */
     void storeCalled(String call, String answer, long millis) {
         count("store.calls." + call, answer);
         time("store.call", call, millis);
     }
 
-    /** Serves a value that is read when somebody asks. */
+    /** Registers a gauge whose value is computed on each read. */
     void gauge(String name, Supplier<? extends Number> value) {
         registry.gauge(name, () -> (Gauge<Number>) value::get);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
@@ -37,20 +37,21 @@
 import org.lupinpaddle.daemon.settings.JobSettings;
 
 /**
- * One entry on a platform: takes jobs from callers, and owns the services that fall to it. It keeps nothing
- * that the store does not hold.
+ * Runs an entry on the platform: accepts jobs from callers and owns the services assigned to it. All of its state is
+ * kept in the store.
  */
 public final class JobNode implements OwnershipManager.Listener, AutoCloseable {
 
-    // An owner that hears nothing of the store goes on keeping its workers' tasks alive for this long: the
-    // store's outages last 3 to 9 s. A new owner waits as long for workers that it can not reach.
+    // An owner without contact to the store keeps its workers' tasks alive for this long; outages of the store last 3
+    // to 9 s. A new owner waits equally long for workers that it cannot reach.
     private static final long MAX_STORE_SILENCE_MILLIS = 12_000;
     private static final long CHECK_MILLIS = 250;
-    // Readiness follows the store: an entry that can not reach it can accept nothing, and callers had better go to
-    // another hall. A lease is renewed every 450 ms; one renewal without answer takes 1.2 s until the next is answered.
+    // An entry that cannot reach the store cannot accept jobs, so it reports itself as not ready and callers should
+    // use another hall. A lease is renewed every 450 ms; after one unanswered renewal it takes 1.2 s until the next
+    // one is answered.
     private static final long READY_MILLIS = 1_300;
 
-    /** The duty of the fleet's owner; no service can have this name. */
+    /** The duty of owning the fleet; no service can have this name. */
     static final String FLEET = "@fleet";
 
     private final EventLoop loop;
@@ -71,18 +72,18 @@
     private boolean stopping;
 
     /**
-     * What a node is made of.
+     * The components and settings of a node.
      *
      * @param name the entry's name
-     * @param capacity how much it can do, in thousandths of a core: duties go where there is most
+     * @param capacity the entry's CPU capacity in thousandths of a core; duties prefer entries with the most capacity
      * @param store the platform's store
      * @param records the records of operators and workers
-     * @param orders orders to workers
-     * @param advice which workers may run a step
-     * @param instances the list of instances and orders on them
-     * @param limits what the platform holds the entry to
-     * @param wall the time of day
-     * @param meters the entry's figures
+     * @param orders sends orders to workers
+     * @param advice advises which workers may run a step
+     * @param instances lists and orders instances
+     * @param limits the limits that the platform sets for the entry
+     * @param wall the wall clock
+     * @param meters the entry's metrics
      */
     public record Parts(
             String name,
@@ -96,7 +97,7 @@
             Clock wall,
             JobMetrics meters) {}
 
-    /** Makes a node; it does nothing until {@link #start}. */
+    /** Creates a node, which is inactive until {@link #start}. */
     public JobNode(EventLoop loop, Parts p) {
         this.loop = loop;
         meters = p.meters();
@@ -136,7 +137,6 @@
                 unreadable);
     }
 
-    /** Begins. */
     public void start() {
         loop.execute(() -> {
             configuration.start();
@@ -158,17 +158,17 @@
         meters.gauge("log.lines.left.out", Log::leftOut);
     }
 
-    /** Returns what callers ask. Use it on the event loop. */
+    /** Returns the handler of callers' requests. Use it on the event loop only. */
     public JobIntake intake() {
         return intake;
     }
 
-    /** Returns what operators ask. */
+    /** Returns the executor of operators' commands. */
     public JobCommandExecutor questions() {
         return questions;
     }
 
-    /** Returns whether callers had better come to this entry. Any thread may ask. */
+    /** Returns whether callers should use this entry. Thread-safe. */
     public boolean isReady() {
         return ready;
     }
@@ -186,7 +186,7 @@
             Log.info("readiness", "ready", next, "store-heard-millis-ago", now - ownership.confirmedAt());
         }
         if (now - ownership.confirmedAt() > MAX_STORE_SILENCE_MILLIS) {
-            String why = "nothing heard of the store for " + MAX_STORE_SILENCE_MILLIS + " ms";
+            String why = "no answer from the store for " + MAX_STORE_SILENCE_MILLIS + " ms";
             ownership.owned().forEach((duty, fence) -> ownership.giveUp(duty, fence, why));
         }
     }
@@ -210,7 +210,10 @@
         hosts.values().forEach(SchedulerHost::onWorkers);
     }
 
-    /** Workers' records change all the time; only owners of services follow them. */
+    /**
+     * Starts the worker watch if necessary. Workers' records change constantly, so only owners of services follow
+     * them.
+     */
     private WorkerFeed followWorkers() {
         WorkerFeed feed = workers;
         if (feed == null) {
@@ -236,7 +239,7 @@
                 fence,
                 followWorkers(),
                 () -> ownership.giveUp(duty, fence, "fenced"),
-                () -> ownership.deferToOthers(duty, fence, "its records can not be read"));
+                () -> ownership.deferToOthers(duty, fence, "its records cannot be read"));
         hosts.put(duty, host);
         host.start();
     }
@@ -268,7 +271,7 @@
         }
     }
 
-    /** Hands all duties over; callers are served on until {@link #close}. */
+    /** Hands over all duties; callers are served until {@link #close}. */
     public void stop() {
         loop.execute(() -> {
             stopping = true;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
@@ -29,12 +29,12 @@
 import org.lupinpaddle.daemon.common.Log;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** Which entries there are, what each can do and owns, as the store's records of them are seen from one entry. */
+/** This entry's view of the registered entries, their capacities and the duties they own, as recorded in the store. */
 final class MemberRegistry {
 
-    // An entry that was registered so long ago is not waited for when the store comes back.
+    // When the store recovers, an entry that was last seen registered longer ago than this is not waited for.
     private static final long RETENTION_MILLIS = 30_000;
-    // Its registration and its capacity.
+    // The registration and the capacity.
     private static final int KEYS_PER_ENTRY = 2;
     private static final char LIFE_SEPARATOR = '/';
 
@@ -42,22 +42,22 @@
     private final Clock clock;
     private final String entry;
     private final long capacity;
-    /** Entries that are, or lately were, registered. */
+    /** Entries that are registered or were until recently. */
     private final Map<String, Known> known = new HashMap<>();
-    /** Since when an entry has been registered without a break. */
+    /** The time since which each entry has been registered without interruption. */
     private final Map<String, Long> registeredSince = new HashMap<>();
 
-    /** Capacities that can not be read, with the revision that was published of. */
+    /** Unreadable capacities and the revisions at which they were logged. */
     private final Map<String, Long> unreadable = new HashMap<>();
 
-    /** What is known of an entry that is or was registered. */
+    /** The capacity of an entry, and when it was last seen registered. */
     private record Known(long capacity, long seenAt) {}
 
     /**
-     * Makes the view of an entry.
+     * Creates the view.
      *
-     * @param watch follows the records of members
-     * @param capacity what this entry can do, in thousandths of a core, whatever it has published
+     * @param watch follows the member records
+     * @param capacity this entry's actual capacity in thousandths of a core, which may differ from the published one
      */
     MemberRegistry(PrefixWatch watch, Clock clock, String entry, long capacity) {
         this.watch = watch;
@@ -66,12 +66,15 @@
         this.capacity = capacity;
     }
 
-    /** Returns a name for a process of an entry, from its start to its end. */
+    /** Returns a unique name for the life of an entry, which is one run of its process. */
     static String newLife(String entry) {
         return entry + LIFE_SEPARATOR + UUID.randomUUID();
     }
 
-    /** Returns whether a life is over for certain, by this process's own: its entry is registered with another one. */
+    /**
+     * Returns whether another life has certainly ended, judging from this process's own life: its entry is registered
+     * under a different life.
+     */
     boolean isOver(String otherLife, String ownLife) {
         String name = otherLife.substring(0, Math.max(0, otherLife.lastIndexOf(LIFE_SEPARATOR)));
         if (name.equals(entry)) {
@@ -81,12 +84,12 @@
                 .anyMatch(i -> i.key().equals(JobKeys.entry(name)) && isDifferentLife(i.value(), name, otherLife));
     }
 
-    /** A registration that names no life of the entry, as another writer may have put it, does not end any. */
+    /** Ignores registrations that do not name a life of the entry, since another writer may have written them. */
     private static boolean isDifferentLife(String life, String name, String otherLife) {
         return life.startsWith(name + LIFE_SEPARATOR) && !life.equals(otherLife);
     }
 
-    /** Returns the entries that are registered, this one among them. */
+    /** Returns the registered entries, including this one. */
     Set<String> entries() {
         Set<String> all = new TreeSet<>();
         watch.items().forEach(i -> JobKeys.entryOf(i.key()).ifPresent(all::add));
@@ -94,7 +97,10 @@
         return all;
     }
 
-    /** Returns the entries that may try for a duty; right after the store's return also those that are not back yet. */
+    /**
+     * Returns the entries that may acquire a duty. Right after an outage of the store this includes the entries that
+     * have not registered again yet.
+     */
     Set<String> candidates(boolean returning) {
         Set<String> all = entries();
         if (returning) {
@@ -103,14 +109,14 @@
         return all;
     }
 
-    /** Returns who owns which duty. */
+    /** Returns the ownership records by duty. */
     Map<String, StoreItem> owners() {
         Map<String, StoreItem> owners = new HashMap<>();
         watch.items().forEach(i -> JobKeys.ownedBy(i.key()).ifPresent(d -> owners.put(d, i)));
         return owners;
     }
 
-    /** Returns the order in which entries try for duties, with these owners. */
+    /** Returns the ranking in which entries try to acquire duties, given the current owners. */
     OwnerRank order(Map<String, StoreItem> owners) {
         return new OwnerRank(counts(owners.values()), capacities());
     }
@@ -121,7 +127,7 @@
         return counts;
     }
 
-    /** Returns whether both of this entry's own records are there, under its lease. */
+    /** Returns whether both of this entry's records are stored under its lease. */
     boolean hasOwnRecords(long lease) {
         long mine = watch.items().stream()
                 .filter(i -> i.lease() == lease)
@@ -130,7 +136,7 @@
         return mine == KEYS_PER_ENTRY;
     }
 
-    /** Takes in who is registered now, for the time when the store is away. */
+    /** Remembers the registered entries for the time when the store is unreachable. */
     void rememberRegistered() {
         long now = clock.millis();
         Map<String, Long> published = publishedCapacities();
@@ -138,14 +144,14 @@
         known.values().removeIf(k -> now - k.seenAt() > RETENTION_MILLIS);
     }
 
-    /** Takes in who is registered now, for {@link #registeredFor}. */
+    /** Updates the registration times used by {@link #registeredFor}. */
     void trackRegistrations() {
         Set<String> now = entries();
         registeredSince.keySet().retainAll(now);
         now.forEach(e -> registeredSince.putIfAbsent(e, clock.millis()));
     }
 
-    /** Returns the entries that have been registered for so long. */
+    /** Returns the entries that have been registered for at least the given time. */
     List<String> registeredFor(long millis) {
         long now = clock.millis();
         return registeredSince.entrySet().stream()
@@ -154,7 +160,7 @@
                 .toList();
     }
 
-    /** This is read at every change of any entry; one line tells of a value. */
+    /** Logs an unreadable capacity once per revision; capacities are read on every change of any entry. */
     private void logUnreadableCapacity(StoreItem i) {
         Long published = unreadable.put(i.key(), i.revision());
         if (!Long.valueOf(i.revision()).equals(published)) {
@@ -166,7 +172,8 @@
         Map<String, Long> all = new HashMap<>();
         known.forEach((name, k) -> all.put(name, k.capacity()));
         all.putAll(publishedCapacities());
-        // What this entry does well it goes on doing, whatever else it leaves to others.
+        // This entry ranks itself by its actual capacity, even while it publishes a lower one to leave duties to
+        // others.
         all.put(entry, capacity);
         return all;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MeteredStore.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MeteredStore.java
@@ -26,14 +26,14 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.StorePage;
 
-/** Counts and times each call to the store, by its kind and its answer. */
+/** Counts and times every store call by call type and answer. */
 public final class MeteredStore implements KeyValueStore {
 
     private final KeyValueStore store;
     private final JobMetrics meters;
     private final Clock clock;
 
-    /** Makes it over another store. */
+    /** Creates a decorator of another store. */
     public MeteredStore(KeyValueStore store, JobMetrics meters, Clock clock) {
         this.store = store;
         this.meters = meters;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
@@ -23,15 +23,18 @@
 import java.util.function.Predicate;
 import org.lupinpaddle.core.fleet.RecentOrders;
 
-/** Which instances the owners of the fleet have ordered lately, and from when on an owner of another life may order each. */
+/**
+ * Tracks the instances that the owners of the fleet have ordered recently, and from when an owner in another process
+ * may order each of them.
+ */
 final class OrderedInstances {
 
     /**
-     * An instance that this owner or an inherited one has ordered.
+     * An instance ordered by this owner or an earlier one.
      *
      * @param life the life of the entry that ordered it
-     * @param at when that was written down, or taken over
-     * @param freeAt from when on an owner of another life may order it
+     * @param at when the order was recorded, or taken over from an earlier owner
+     * @param freeAt when an owner with another life may order it
      */
     private record Ordered(String life, long at, long freeAt) {}
 
@@ -41,10 +44,10 @@
     private final Map<String, Ordered> inherited = new HashMap<>();
 
     /**
-     * Makes an empty list.
+     * Creates an empty list.
      *
-     * @param takeOverMillis how long an instance is left alone from the writing of its order on
-     * @param orderMillis the part of it within which the order reaches the platform, if it does
+     * @param takeOverMillis how long an instance must not be ordered by another owner after its order was recorded
+     * @param orderMillis the part of that time within which the order reaches the platform, if at all
      */
     OrderedInstances(long takeOverMillis, long orderMillis) {
         this.takeOverMillis = takeOverMillis;
@@ -52,8 +55,9 @@
     }
 
     /**
-     * Takes in an inherited owner's record. It was written before this ownership was won, at {@code wonAt}: what was left to
-     * wait then is no longer now. It is told on, should this owner be followed soon.
+     * Adds an earlier owner's record. The record was written before this ownership was won at {@code wonAt}, so its
+     * remaining waits are at most as long now. The entries are included in this owner's own record in case it is
+     * succeeded soon.
      */
     void takeOver(RecentOrders r, long wonAt) {
         r.lifeByInstance()
@@ -62,7 +66,7 @@
         all.putAll(inherited);
     }
 
-    /** Drops what lives that are over have ordered, and returns how many of the inherited owners' instances that were. */
+    /** Removes the orders of ended lives and returns how many of them were inherited from earlier owners. */
     int dropEnded(Predicate<String> isOver) {
         int before = inherited.size();
         inherited.values().removeIf(o -> isOver.test(o.life));
@@ -70,40 +74,46 @@
         return before - inherited.size();
     }
 
-    /** Returns until when the instances are to be left alone that inherited owners have ordered. */
+    /** Returns the instances that earlier owners have ordered, and until when they must not be ordered. */
     Map<String, Long> blockedUntil() {
         Map<String, Long> until = new HashMap<>();
         inherited.forEach((i, o) -> until.put(i, o.freeAt));
         return until;
     }
 
-    /** Takes in that this owner is about to order instances. */
+    /** Records that this owner is about to order instances. */
     void onOrdering(Collection<String> instances, String life, long now) {
         instances.forEach(i -> all.put(i, new Ordered(life, now, now + takeOverMillis)));
     }
 
-    /** Takes in that no order of before can reach the platform any more: the time between two owners runs from now on. */
+    /**
+     * Records that no earlier order of the instance can reach the platform any more; the required time between two
+     * owners' orders starts now.
+     */
     void onAnswered(String instance, long now) {
         long freeAt = now + takeOverMillis - orderMillis;
         all.computeIfPresent(instance, (i, o) -> new Ordered(o.life, o.at, Math.min(o.freeAt, freeAt)));
     }
 
-    /** Drops all but those that pass, by instance and the life that ordered it. */
+    /** Removes all entries that do not match a predicate on the instance and the life that ordered it. */
     void keepOnly(BiPredicate<String, String> kept) {
         all.entrySet().removeIf(o -> !kept.test(o.getKey(), o.getValue().life));
     }
 
-    /** Returns whether an instance is on the record for too long. */
+    /** Returns whether an order is recorded that has expired. */
     boolean hasExpired(long now) {
         return all.values().stream().anyMatch(o -> isExpired(o, now));
     }
 
-    /** Returns whether an instance is still to be left alone, so that a record written now tells of a shorter wait. */
+    /**
+     * Returns whether an instance still must not be ordered, in which case rewriting the record now would shorten the
+     * recorded wait.
+     */
     boolean hasWaiting(long now) {
         return all.values().stream().anyMatch(o -> now < o.freeAt);
     }
 
-    /** Drops what is old, and returns the record of the rest, as of now. */
+    /** Removes expired orders and returns a record of the others with their remaining waits. */
     RecentOrders record(long now) {
         all.values().removeIf(o -> isExpired(o, now));
         Map<String, String> lives = new TreeMap<>();
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -38,39 +38,40 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * Keeps this entry's lease, and takes duties that nobody owns. A duty is owned by whoever holds its key under
- * a live lease; the revision of the write that took it is the owner's fence.
+ * Maintains this entry's lease and acquires duties without an owner. A duty is owned by the entry that holds its key
+ * under a live lease; the revision of the acquiring write is the owner's fence (fencing token).
  */
 final class OwnershipManager implements PrefixWatch.Listener, AutoCloseable {
 
-    // An entry that dies is followed after this and a renewal's time; the store gives no lease under 1 s.
-    /** How long a lease lasts after its latest renewal, in milliseconds. */
+    // A dead entry is succeeded after this time and the time of a renewal; the store grants no lease under 1 s.
+    /** The time to live of a lease after its latest renewal, in milliseconds. */
     static final long TTL_MILLIS = 1_500;
 
     private static final long RENEW_MILLIS = 450;
-    // A renewal that has no answer by then is followed by another beside it. Four go out before a lease ends, so that a
-    // store that loses half of its answers ends it one time in sixteen, not in four. A slow store takes 250 ms.
+    // If a renewal is unanswered after this time, another one is sent in parallel. Four renewals are sent before a
+    // lease expires, so that a store which loses half of its answers ends the lease one time in sixteen rather than
+    // one in four. A slow store takes 250 ms to answer.
     private static final long RENEW_RETRY_MILLIS = 250;
     private static final long RETRY_MILLIS = 200;
-    // An entry takes a duty this much later for each one that comes before it: a write takes 10 ms.
+    // Delay for each entry that ranks higher for a duty; a write takes 10 ms.
     private static final long STAGGER_MILLIS = 100;
-    // But not later than after so many: of the entries before it, any number may have died at the same moment.
+    // Limits the rank in the delay, because any number of the higher-ranked entries may have died at the same moment.
     private static final int MAX_RANK = 5;
-    // And this much later for each one that it has already, up to some: after a loss of power all entries start within
-    // 0.3 s, and what the first of them leaves for a moment goes to the others.
+    // Additional delay for each duty already owned, up to a limit: after a power loss all entries start within 0.3 s,
+    // and the delay leaves duties to the ones that start later.
     private static final long DUTY_DELAY_MILLIS = 200;
     private static final int MAX_DUTY_STEPS = 4;
 
-    // A hand-over leaves a service without an owner for about 100 ms: not too often, and not to an entry that has
-    // just started.
+    // A hand-over leaves a service without an owner for about 100 ms, so hand-overs are limited in rate and never go
+    // to an entry that has just started.
     private static final long REBALANCE_INTERVAL_MILLIS = 2_000;
     private static final long MIN_REGISTERED_MILLIS = 2_000;
-    // Nor before it has been of use: its owner has read all that it needs, and asked every worker.
+    // A duty is not handed over before the owner has read all of its state and contacted every worker.
     private static final long MIN_HOLD_MILLIS = 5_000;
-    // When the store comes back after all leases have ended, entries come back within this.
+    // When the store recovers after all leases have expired, entries register again within this time.
     private static final long REJOIN_MILLIS = 1_000;
-    // An entry that could not begin with a duty leaves it to the others for so long, and tries retry if they can't
-    // either.
+    // How long an entry leaves a duty that it could not start to others before it tries again, in case they cannot
+    // start it either.
     private static final long DEFER_MILLIS = 10_000;
     private static final long MIN_CAPACITY = 1;
 
@@ -86,20 +87,20 @@
     private final TreeMap<String, Long> owned = new TreeMap<>();
     private final Set<String> duties = new TreeSet<>();
     private final Set<String> attempts = new HashSet<>();
-    /** Fences of duties that were handed over; the watch may show them for a moment longer. */
+    /** Fences of duties that were handed over; the watch may show them for some time. */
     private final Set<Long> releasedFences = new HashSet<>();
-    /** Fences under which this entry has owned a duty and does not any more: what it sent may still be under way. */
+    /** Fences under which this entry owned a duty before; its orders and writes may still be in flight. */
     private final Set<Long> endedFences = new HashSet<>();
-    /** Duties that this entry could not begin with, and until when it leaves them to others. */
+    /** Duties that this entry could not start, and until when it leaves them to others. */
     private final Map<String, Long> deferredUntil = new HashMap<>();
 
-    /** Since when a duty is known to be free. */
+    /** The time since which each duty is known to be without an owner. */
     private final Map<String, Long> freeSince = new HashMap<>();
-    /** When a duty was won that this entry owns. */
+    /** The time at which each owned duty was won. */
     private final Map<String, Long> wonAt = new HashMap<>();
 
     private long lease;
-    /** The number of the latest renewal; one more once that is answered. */
+    /** The number of the latest renewal; incremented once that renewal is answered. */
     private long renewal;
 
     private long reopenedAt = Long.MIN_VALUE / 2;
@@ -108,20 +109,21 @@
     private boolean registered;
     private boolean stopping;
 
-    /** What is told of duties. */
+    /** Receives changes of ownership. */
     interface Listener {
-        /** This entry owns the duty from now on. */
+        /** Called when this entry has acquired a duty. */
         void won(String duty, long fence);
 
         /**
-         * This entry is about to hand a duty over: it is to begin nothing new, and to make durable what it alone knows,
-         * while its key still allows that. The duty goes when the future ends, or is lost before.
+         * Called before a duty is handed over. The owner must start nothing new and make the state that only it knows
+         * durable while its key still permits writes. The duty is released when the future completes, unless it is
+         * lost before.
          */
         default CompletableFuture<Void> handOver(String duty, HandOverReason why) {
             return CompletableFuture.completedFuture(null);
         }
 
-        /** This entry does not own the duty any more. */
+        /** Called when this entry no longer owns a duty. */
         void lost(String duty, String why);
     }
 
@@ -142,47 +144,50 @@
         watch.start();
     }
 
-    /** Sets the duties that are to have an owner. */
+    /** Sets the duties that must have an owner. */
     void setDuties(Set<String> wanted) {
         duties.clear();
         duties.addAll(wanted);
         acquireFreeDuties();
     }
 
-    /** Returns since when this entry's ownership may have ended: when the latest renewal was sent. */
+    /**
+     * Returns the time since which this entry's ownership may have ended: the time at which the latest answered
+     * renewal was sent.
+     */
     long confirmedAt() {
         return renewalSentAt;
     }
 
-    /** Returns whether the store has answered within a lease's time. */
+    /** Returns whether the store has answered within the time to live of a lease. */
     boolean reachesStore() {
         return loop.clock().millis() - renewalSentAt <= TTL_MILLIS;
     }
 
-    /** Returns until when the lease lives for certain, by this entry's clock. */
+    /** Returns the time until which the lease is certainly alive, by this entry's clock. */
     long leaseEndsAt() {
         return renewalSentAt + TTL_MILLIS;
     }
 
-    /** Returns the duties that this entry owns, with their fences. */
+    /** Returns the duties owned by this entry with their fences. */
     Map<String, Long> owned() {
         return Map.copyOf(owned);
     }
 
-    /** Returns what names this entry's process, from its start to its end. */
+    /** Returns the unique name of this run of the entry's process. */
     String life() {
         return life;
     }
 
-    /** Returns whether a life is over for certain: its entry is registered with another one. */
+    /** Returns whether a life has certainly ended: its entry is registered under a different one. */
     boolean isOver(String otherLife) {
         return members.isOver(otherLife, life);
     }
 
     /**
-     * Gives a duty up that was won with this fence, because it is owned elsewhere or can not be fulfilled here. A
-     * duty that has been won anew since is kept. If the key turns out to be still this entry's, it is taken up
-     * retry under a new fence: nobody else could.
+     * Gives up a duty that was won with this fence, because another entry owns it or it cannot be fulfilled here. If
+     * the duty has been won again since, it is kept. If the key still belongs to this entry, the duty is acquired
+     * again under a new fence, because no other entry could take it.
      */
     void giveUp(String duty, long fence, String why) {
         if (owned.remove(duty, fence)) {
@@ -193,8 +198,9 @@
     }
 
     /**
-     * Hands a duty over that was won with this fence and with which this entry can not begin; for a time it does not try
-     * for it retry. Without another entry, or while the store is away, it is kept: nobody could do better.
+     * Hands over a duty that was won with this fence but cannot be started here, and does not try to acquire it for
+     * some time. The duty is kept if there is no other entry or the store is unreachable, because nobody could do
+     * better.
      */
     void deferToOthers(String duty, long fence, String why) {
         boolean mine = Long.valueOf(fence).equals(owned.get(duty));
@@ -216,7 +222,10 @@
         return deferredUntil.keySet().stream().anyMatch(this::isDeferred);
     }
 
-    /** Returns what the others are told: next to nothing while a duty is left to them, so that none is given to it. */
+    /**
+     * Returns the capacity to publish, which is minimal while this entry leaves a duty to others, so that no duty is
+     * handed over to it.
+     */
     private long publishedCapacity() {
         return defersAny() ? MIN_CAPACITY : capacity;
     }
@@ -302,7 +311,7 @@
                 }));
     }
 
-    /** Renews retry unless the latest renewal, with this number, has been answered. */
+    /** Renews the lease unless the latest renewal, which has this number, has been answered. */
     private void renewUnless(long number) {
         if (number == renewal) {
             renew();
@@ -326,7 +335,7 @@
     private void leaseEnded() {
         Log.warn("lease-ended", "lease", lease, "owned", owned.size());
         lease = 0;
-        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "the store has ended the lease"));
+        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "the lease has expired"));
         openLease();
     }
 
@@ -348,7 +357,7 @@
             StoreItem i = owners.get(o.getKey());
             boolean seen = watch.revision() >= o.getValue();
             if (seen && (i == null || i.revision() != o.getValue())) {
-                giveUp(o.getKey(), o.getValue(), i == null ? "its key is gone" : "owned by " + i.value());
+                giveUp(o.getKey(), o.getValue(), i == null ? "the ownership key was removed" : "owned by " + i.value());
             }
         }
         owners.forEach(this::adopt);
@@ -356,7 +365,7 @@
         acquireFreeDuties();
     }
 
-    /** The store may take keys away while their lease lives on. */
+    /** Registers again if the store has removed keys while their lease is alive. */
     private void restoreRegistration() {
         boolean whole = members.hasOwnRecords(lease);
         if (!whole && registered && lease != 0 && !stopping) {
@@ -365,7 +374,10 @@
         }
     }
 
-    /** Takes up a duty whose taking got no answer, but was made; and one that it gave up, whose key it still holds. */
+    /**
+     * Adopts a duty whose acquisition succeeded without an answer, or one that was given up while the store still
+     * shows this entry as the owner.
+     */
     private void adopt(String duty, StoreItem i) {
         if (stopping) {
             return;
@@ -382,8 +394,8 @@
     }
 
     /**
-     * Writes the key once more, so that its revision rises: orders and writes of the time before carry a fence that
-     * workers and the store refuse from then on, however late they arrive.
+     * Writes the key again to raise its revision. Workers and the store then reject orders and writes with the
+     * earlier fence, however late they arrive.
      */
     private void reacquire(String duty, long fence) {
         attempts.add(duty);
@@ -403,7 +415,7 @@
         List<String> free = duties.stream()
                 .filter(d -> !owners.containsKey(d) && !owned.containsKey(d) && !isDeferred(d))
                 .toList();
-        // As a rule there is none: this is asked at every change of any entry.
+        // Usually no duty is free; this runs on every change of any entry.
         if (free.isEmpty()) {
             return;
         }
@@ -411,7 +423,7 @@
         free.forEach(d -> freeSince.putIfAbsent(d, now));
         OwnerRank order = members.order(owners);
         int steps = owned.size() + attempts.size();
-        // Each entry begins with another one: where all start at once, all duties are tried for at once.
+        // Each entry starts with a different duty, so entries that start together try for all duties at once.
         for (String duty : RendezvousHash.rank(entry, free)) {
             if (attempts.add(duty)) {
                 long delay = delayMillis(order, duty, steps);
@@ -425,7 +437,10 @@
         return loop.clock().millis() - reopenedAt <= REJOIN_MILLIS;
     }
 
-    /** Returns how long after it has become free this entry tries for a duty, with so many others that it has by then. */
+    /**
+     * Returns how long this entry waits before it tries for a free duty, given the number of duties that it owns or
+     * is acquiring.
+     */
     private long delayMillis(OwnerRank order, String duty, int steps) {
         int rank =
                 defersAny() ? MAX_RANK : Math.min(MAX_RANK, order.of(entry, duty, members.candidates(isRejoining())));
@@ -433,8 +448,8 @@
     }
 
     /**
-     * Hands one duty over when another entry had better do it: planned restarts leave all duties to the entry that is
-     * restarted last, and a small entry may win one while the large ones start.
+     * Hands over one duty if another entry is better suited: planned restarts leave all duties with the entry that is
+     * restarted last, and a small entry may win a duty while the large ones start.
      */
     private void rebalance() {
         long now = loop.clock().millis();
@@ -443,13 +458,13 @@
             return;
         }
         Map<String, StoreItem> owners = members.owners();
-        // What it has done for longest it goes on doing.
+        // The duty won last is handed over; those owned for longer stay.
         Optional<String> latest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
         Optional<String> held = latest.filter(d -> now - wonAt(d) >= MIN_HOLD_MILLIS);
         Optional<String> target = members.order(owners).reliefOf(entry, members.registeredFor(MIN_REGISTERED_MILLIS));
         if (held.isPresent() && target.isPresent() && owners.keySet().containsAll(duties)) {
             rebalancedAt = now;
-            release(held.get(), target.get() + " has less to do for what it can do");
+            release(held.get(), target.get() + " has a lower load for its capacity");
         }
     }
 
@@ -457,7 +472,7 @@
         return wonAt.getOrDefault(duty, loop.clock().millis());
     }
 
-    /** Hands a duty over: its owner writes what it alone knows, then the key goes. */
+    /** Hands over a duty: the owner makes its state durable, and then the key is removed. */
     private void release(String duty, String why) {
         Long fence = owned.get(duty);
         if (fence == null || handOvers.isInProgress(fence)) {
@@ -481,7 +496,8 @@
                         r -> {
                             Log.info("duty-released", "duty", duty, "fence", fence, "outcome", r.outcome());
                             if (r.outcome() != CommitResult.Outcome.MADE) {
-                                // It may still be this entry's, and then nobody else could take it up.
+                                // The key may still belong to this entry, in which case no other entry could acquire
+                                // the duty.
                                 releasedFences.remove(fence);
                                 loop.after(RETRY_MILLIS, this::reconcile);
                             }
@@ -496,7 +512,8 @@
             attempts.remove(duty);
             return;
         }
-        // It may have been owned and become free retry since this try was planned: its time counts anew.
+        // The duty may have been owned and become free again since this attempt was scheduled, so the delay starts
+        // again.
         long now = loop.clock().millis();
         long due = freeSince.getOrDefault(duty, now) + delayMillis(members.order(owners), duty, owned.size());
         if (now < due) {
@@ -523,7 +540,9 @@
         listener.won(duty, fence);
     }
 
-    /** Hands all duties over, then ends the lease, so that others follow at once; until then the lease is renewed. */
+    /**
+     * Hands over all duties and then ends the lease, so that others succeed at once; the lease is renewed until then.
+     */
     void stop() {
         if (stopping) {
             return;
@@ -535,7 +554,7 @@
     }
 
     private void endLease() {
-        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "this entry stops"));
+        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "this entry is shutting down"));
         long last = lease;
         lease = 0;
         if (last != 0) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
@@ -28,14 +28,15 @@
 import org.lupinpaddle.daemon.port.StoreRange;
 
 /**
- * Keeps a copy of all items under a prefix: reads them, then watches. When the store has dropped its history,
- * all is read anew. All calls and callbacks are on the event loop.
+ * Maintains a copy of all items under a prefix: reads them and then watches for changes. If the store no longer has
+ * the required history, everything is read again. All calls and callbacks run on the event loop unless stated
+ * otherwise.
  */
 final class PrefixWatch implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 200;
-    // A watch whose answer is lost is noticed after this and a call's time: sooner than the 3 s of calm after
-    // which the platform holds an entry to its bounds.
+    // A lost answer is noticed after this time and the time limit of a call, which is sooner than the 3 s without
+    // faults after which the platform measures an entry against its limits.
     private static final long WATCH_MILLIS = 1_500;
 
     private final KeyValueStore store;
@@ -49,18 +50,18 @@
     private boolean reachable = true;
     private boolean closed;
 
-    /** What is told of the items. */
+    /** Receives changes of the items. */
     interface Listener {
-        /** All items have been read; what is not among them is gone. */
+        /** Called when all items have been read; items not among them no longer exist. */
         void onRead();
 
-        /** A page of a read has arrived; others may follow. Any thread may tell. */
+        /** Called on any thread when a page of a read has arrived; more may follow. */
         default void onPage() {}
 
-        /** Some items have changed, or have gone. */
+        /** Called when items were changed or removed. */
         void onChanges(List<StoreChanges.Change> changes);
 
-        /** Returns a listener that does the same whatever happened. */
+        /** Returns a listener that runs the same action for every read and every change. */
         static Listener forAnyChange(Runnable step) {
             return new Listener() {
                 @Override
@@ -80,7 +81,10 @@
         this(store, loop, prefix, 0, listener);
     }
 
-    /** Makes a watch that, after changes, lets more of them gather for a time: each answer has its price. */
+    /**
+     * Creates a watch that waits after each change so that further changes are batched, since every answer has a
+     * cost.
+     */
     PrefixWatch(KeyValueStore store, EventLoop loop, String prefix, long batchMillis, Listener listener) {
         this.store = store;
         this.loop = loop;
@@ -89,7 +93,7 @@
         this.listener = listener;
     }
 
-    /** Reads everything, then watches until closed. */
+    /** Reads all items, then watches until closed. */
     void start() {
         if (closed) {
             return;
@@ -191,12 +195,12 @@
         return items.values();
     }
 
-    /** Returns the store's revision up to which the items are known. */
+    /** Returns the store revision up to which the items are known. */
     long revision() {
         return revision;
     }
 
-    /** Returns since when the items may be out of date: when the newest call that was answered was sent. */
+    /** Returns the time since which the items may be out of date: when the latest answered call was sent. */
     long confirmedAt() {
         return confirmedAt;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
@@ -67,7 +67,7 @@
     /** Workspaces whose last written request exceeds the grant. */
     private final Set<String> unmetRequests = new HashSet<>();
 
-    /** Makes the keeper; {@code onChange} is called when allocations may have changed. */
+    /** Creates the manager; {@code onChange} is called when allocations may have changed. */
     QuotaManager(SchedulerHost.Context entry, String service, long fence, Runnable onChange) {
         this.store = entry.store();
         this.loop = entry.loop();
@@ -160,7 +160,8 @@
 
     private void write(Map<String, QuotaAllocation> due) {
         ActiveWorkspaces current = workspaces.get();
-        // No grant is raised by a maximum that a newer configuration may have lowered.
+        // Requires the known configuration, so that no grant is raised under a maximum that a newer configuration may
+        // have lowered.
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence).when(current.key(), current.revision());
         due.forEach((name, a) -> {
             WorkspaceQuota q = table.of(name);
@@ -196,7 +197,10 @@
         }
     }
 
-    /** Without the ownership no write can succeed any more; a newer configuration is known here soon. */
+    /**
+     * Returns when to retry: never without the ownership, or shortly if a newer configuration exists, which this
+     * entry soon learns of.
+     */
     private long retryAfterConflict(CommitResult r, ActiveWorkspaces current) {
         if (r.revisionOf(ownerKey) != fence) {
             return Long.MAX_VALUE;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/RecoveredJobs.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/RecoveredJobs.java
@@ -32,15 +32,15 @@
 import org.lupinpaddle.daemon.port.StoreRange;
 
 /**
- * What a service's store still knows of jobs that this owner's scheduler does not: how far earlier owners have brought
- * them, and which are finished. Records of the latter are removed once nobody may ask for them any more.
+ * The jobs of a service that are stored but not yet known to this owner's scheduler: their progress under earlier
+ * owners, and the finished ones. Records of finished jobs are removed once nobody may ask for them any more.
  */
 final class RecoveredJobs {
 
-    // Callers may ask for 120 s after a job's end.
-    /** How long after its end a job's records are kept, in milliseconds. */
+    // Callers may ask for a job until 120 s after its end.
+    /** How long the records of a finished job are kept, in milliseconds. */
     static final long RETENTION_MILLIS = 130_000;
-    // Three keys a job, and a call takes 32 rows.
+    // Each job has three keys, and a store call accepts 32 rows.
     private static final int JOBS_PER_REMOVAL = 10;
 
     private final FencedRecordWriter records;
@@ -48,10 +48,10 @@
     private final String service;
     private final UnreadableEntries unreadable;
     private final Map<JobKey, JobProgress> progress = new HashMap<>();
-    /** Jobs that are over, with when their records may be removed. */
+    /** Finished jobs, and when their records may be removed. */
     private final Map<JobKey, Long> finished = new HashMap<>();
 
-    /** Jobs whose progress is written in a way that this version can not read. */
+    /** Jobs whose stored progress this version cannot read. */
     private final Set<JobKey> unreadableJobs = new HashSet<>();
 
     RecoveredJobs(FencedRecordWriter records, EventLoop loop, String service, UnreadableEntries unreadable) {
@@ -61,7 +61,7 @@
         this.unreadable = unreadable;
     }
 
-    /** Takes in the progress of all jobs of the service. */
+    /** Reads the progress of all jobs of the service. */
     void read(StoreRange all) {
         unreadable.retainOnly(JobKeys.progress(service), all.items());
         all.items().forEach(i -> JobKeys.progressOf(service, i.key()).ifPresent(job -> read(job, i)));
@@ -81,30 +81,33 @@
     }
 
     /**
-     * Returns whether a job has progress that can not be read. It may have run in part or as a whole, so it must neither
-     * be begun as a new one nor be written of.
+     * Returns whether a job has unreadable progress. Parts or all of it may have run, so it must neither be started
+     * as a new job nor be overwritten.
      */
     boolean isUnreadable(JobKey job) {
         return unreadableJobs.contains(job);
     }
 
-    /** Returns how many jobs have progress that nobody has taken yet. */
+    /** Returns the number of jobs whose progress has not been taken yet. */
     int unclaimedCount() {
         return progress.size();
     }
 
-    /** Returns how many of those are finished. */
+    /** Returns how many of the jobs counted by {@link #unclaimedCount} are finished. */
     long finishedCount() {
         return progress.values().stream().filter(JobProgress::over).count();
     }
 
-    /** Returns how far a job was brought, once; null when nothing is known. */
+    /** Removes and returns a job's progress; null if none is known. */
     @Nullable
     JobProgress takeProgress(JobKey job) {
         return progress.remove(job);
     }
 
-    /** Returns whether a job is over: most of the last minutes are, and reading them all would hold up a take-finished. */
+    /**
+     * Returns whether a job is finished. Most recent jobs are, and reading all of their specs would delay a
+     * take-over.
+     */
     boolean isFinished(JobKey job) {
         JobProgress p = progress.get(job);
         if (p != null && p.over()) {
@@ -114,7 +117,7 @@
         return finished.containsKey(job);
     }
 
-    /** Removes the records of these jobs, and of others whose time has come. */
+    /** Removes the records of the given jobs and of all others whose retention time has passed. */
     void removeExpired(Collection<JobKey> ended) {
         long now = loop.clock().millis();
         ended.forEach(j -> finished.put(j, now));
@@ -124,7 +127,7 @@
                 .toList();
         for (int i = 0; i < due.size(); i += JOBS_PER_REMOVAL) {
             List<JobKey> batch = due.subList(i, Math.min(due.size(), i + JOBS_PER_REMOVAL));
-            // Until their records are gone for certain, a new read of them must not make new jobs of them.
+            // Until the records are certainly removed, reading them again must not create new jobs.
             records.remove(batch.stream().flatMap(this::keysOf).toList(), () -> batch.forEach(finished::remove));
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -59,25 +59,24 @@
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
 /**
- * Runs the scheduler of one service while this entry owns it: reads what recovered owners left, watches for new
- * jobs, carries orders out and makes progress durable. All on the event loop.
+ * Runs the scheduler of one service while this entry owns it: reads what earlier owners stored, watches for new jobs,
+ * sends orders and makes progress durable. Everything runs on the event loop.
  */
 final class SchedulerHost implements SchedulerPort, PrefixWatch.Listener, AutoCloseable {
 
     private static final long TICK_MILLIS = 25;
-    // An entry has less than a core; events come every few milliseconds when it is busy.
+    // An entry has less than one core, and events arrive every few milliseconds under load.
     private static final long MIN_TICK_GAP_MILLIS = 5;
     private static final long RETRY_MILLIS = 150;
-    // Counts of waiting jobs may be 2 s old when they are told; pools are sized by the same report.
+    // Counts of pending jobs may be 2 s old when they are reported; pools are sized by the same report.
     private static final long REPORT_MILLIS = 400;
     private static final long REPORT_CHECK_MILLIS = 120;
     private static final long MISSING_WORKER_CHECK_MILLIS = 700;
     private static final long REMOVAL_INTERVAL_MILLIS = 5_000;
-    // What was heard is still worth writing when the store comes back: its outages last 3 to 9 s. If the key is there
-    // by
-    // then nobody else owns the service, and it allows the write.
+    // Received results are still worth writing when the store recovers from an outage of 3 to 9 s. If the ownership
+    // key still exists then, no other entry owns the service and the write succeeds.
     private static final long FINAL_WRITE_MILLIS = 10_000;
-    // One line a second and service: what an engineer on call asks first.
+    // One line per second and service; it is the first thing an on-call engineer looks for.
     private static final long LOAD_LOG_MILLIS = 1_000;
 
     private final Context context;
@@ -102,22 +101,22 @@
     private @Nullable CompletableFuture<Void> handedOver;
     private long closedAt;
     private boolean closed;
-    /** Whether another owner is known to have superseded: nothing that this one writes counts any more. */
+    /** Whether another owner is known to have taken over, so that this owner's writes no longer count. */
     private boolean superseded;
 
     /**
-     * What all schedulers of an entry share.
+     * The components that all schedulers of an entry share.
      *
      * @param store the platform's store
-     * @param orders orders to workers
-     * @param advice which workers may run a step
-     * @param instances the list of instances
+     * @param orders sends orders to workers
+     * @param advice advises which workers may run a step
+     * @param instances lists the instances
      * @param loop the event loop
      * @param reachesStore whether the store answers this entry
-     * @param wall the time of day
-     * @param timing the scheduler's times
-     * @param meters the entry's figures
-     * @param unreadable entries of the store that can not be read
+     * @param wall the wall clock
+     * @param timing the scheduler's timing
+     * @param meters the entry's metrics
+     * @param unreadable the unreadable entries of the store
      * @param workspaces supplies the workspaces of the current configuration
      */
     record Context(
@@ -134,10 +133,10 @@
             Supplier<ActiveWorkspaces> workspaces) {}
 
     /**
-     * Makes the host.
+     * Creates the host.
      *
-     * @param onOwnershipLost is run when another owner is known to have superseded
-     * @param onStartStalled is run when what recovered owners left can not be read
+     * @param onOwnershipLost runs when another owner is known to have taken over
+     * @param onStartStalled runs when reading the records of earlier owners makes no progress
      */
     SchedulerHost(
             Context context,
@@ -167,7 +166,7 @@
                 (leaving, urgent) -> notifyScheduler(s -> s.onEvacuations(leaving, urgent)));
     }
 
-    /** Reads what recovered owners left, then begins. */
+    /** Reads the records of earlier owners, then starts the scheduler. */
     void start() {
         readProgress();
     }
@@ -261,7 +260,7 @@
                 .toList());
     }
 
-    /** Jobs first: a cancellation is lost on a scheduler that does not know the job yet. */
+    /** Processes jobs before cancellations, because the scheduler ignores the cancellation of an unknown job. */
     private void takeAll(List<StoreItem> items) {
         items.forEach(this::takeJob);
         items.forEach(this::takeCancellation);
@@ -274,7 +273,7 @@
             return;
         }
         JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
-        // A small record is never a job, even if nothing is known of its progress.
+        // A reduced record never starts a job, even if no progress is known for it.
         if (key != null && !recovered.isFinished(key) && !i.value().equals(JobSpec.OVER)) {
             JobSpec spec = context.unreadable.recordOrNull(Kind.JOB, i, read(i, key));
             if (spec == null || recovered.isUnreadable(key)) {
@@ -298,7 +297,7 @@
         }
     }
 
-    /** Takes in which workers of the service are listed. */
+    /** Passes the listed workers of the service to the scheduler. */
     void onWorkers() {
         if (scheduler != null) {
             scheduler.onWorkers(workers.of(service));
@@ -329,7 +328,10 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Passes over all jobs and workers are not worth it for each event by itself. */
+    /**
+     * Schedules one tick for several events, because a pass over all jobs and workers is too expensive for each
+     * single event.
+     */
     private void requestTick() {
         if (!tickQueued) {
             tickQueued = true;
@@ -342,10 +344,10 @@
         tickQueued = false;
         tickedAt = context.loop.clock().millis();
         if (!closed && scheduler != null) {
-            // A worker that an recovered owner has called empty may be ordered away at any moment: nothing is placed
-            // before
-            // the requests are read. Nor is anything started while a cancellation may have been answered that is not
-            // known here: right after an outage of the store the list of workers may be new and the jobs' one not.
+            // The instance of a worker that an earlier owner reported as empty may be moved or restarted at any
+            // moment, so nothing is placed before the evacuation requests are read. Nothing is started either while
+            // an acknowledged cancellation may be unknown here: right after an outage of the store, the list of
+            // workers may be current while the list of jobs is not.
             if (evacuations.isRead()) {
                 scheduler.onWorkersKnown(Math.min(workers.confirmedAt(), inputs.confirmedAt()));
             }
@@ -355,7 +357,7 @@
         }
     }
 
-    /** Begins nothing new; the future ends when all that this owner alone knows is durable. */
+    /** Stops starting tasks; the future completes when all state that only this owner knows is durable. */
     CompletableFuture<Void> handOver() {
         if (handedOver == null) {
             handedOver = new CompletableFuture<>();
@@ -414,7 +416,7 @@
                         context.loop::execute);
     }
 
-    /** A worker whose answer can not be read is one that has not answered: without an outcome it is never asked again. */
+    /** Treats an unreadable answer as no answer; without an outcome the worker would never be asked again. */
     private static HoldResult unreadable(HoldOrder order, Throwable why) {
         Log.warn("hold-unreadable", "worker", order.worker().id(), "why", why);
         return new HoldResult(OrderOutcome.UNKNOWN, null);
@@ -467,7 +469,7 @@
             }
             case NOT_OWNER -> {
                 superseded = true;
-                ownershipLost("the store refused a write: not the owner any more");
+                ownershipLost("the store rejected a write: this entry no longer owns the service");
             }
         }
         if (!closed) {
@@ -475,7 +477,10 @@
         }
     }
 
-    /** Goes on writing what was heard before the end, as long as the store takes it. */
+    /**
+     * Continues after the end of ownership to write results received before it, for as long as the store accepts
+     * them.
+     */
     private void writeRemaining() {
         ServiceScheduler s = scheduler;
         if (s == null || superseded || s.isWritten()) {
@@ -508,7 +513,7 @@
         DecisionLog.write(service, fence, e);
     }
 
-    /** A pool that has become too small is told of at once, other news a little later. */
+    /** Reports a growing demand for workers at once, and other changes with a short delay. */
     private void writeReport() {
         if (scheduler == null) {
             return;
@@ -520,7 +525,8 @@
             return;
         }
         reportedAt = now;
-        // One at a time: at a slow store each would else meet the revision of the one before.
+        // Only one report is written at a time, since with a slow store the next write would conflict with the
+        // revision of the previous one.
         reporting = true;
         records.write(Map.of(JobKeys.report(service), RecordCodec.write(report)), outcome -> {
             reporting = false;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StartupWatchdog.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StartupWatchdog.java
@@ -19,14 +19,13 @@
 import org.lupinpaddle.daemon.common.EventLoop;
 
 /**
- * How long a new owner tries to begin with its duty. A lease tells that the owner's process lives, not that it gets
- * anywhere; so the owner looks itself whether its reads go on, and makes room when they do not.
+ * Detects that a new owner makes no progress in starting its duty. A lease shows that the owner's process is alive
+ * but not that it advances, so the owner checks that its reads make progress and hands the duty over if they do not.
  */
 final class StartupWatchdog {
 
-    // A page may take some seconds over a thin link that is shared; service is to be back 12 to 15 s after a loss of
-    // power.
-    /** How long a new owner waits for the next page of what it has to read, in milliseconds. */
+    // A page may take some seconds over a slow shared link; service must be restored 12 to 15 s after a power loss.
+    /** The maximum time that a new owner waits for the next page of its reads, in milliseconds. */
     static final long MAX_STALL_MILLIS = 5_000;
 
     private static final long CHECK_MILLIS = 500;
@@ -38,11 +37,11 @@
     private volatile long lastProgressAt;
 
     /**
-     * Makes it; it looks from now on.
+     * Creates and starts the watchdog.
      *
-     * @param needed whether the duty is still this owner's and has not been begun with
-     * @param reachesStore whether the store answers this entry; while it does not, nobody could read
-     * @param onStalled is run each time when nothing has onProgress for too long
+     * @param needed whether this entry still owns the duty and has not started it yet
+     * @param reachesStore whether the store answers this entry; while it does not, no entry could read
+     * @param onStalled runs at each check that finds no progress for too long
      */
     StartupWatchdog(EventLoop loop, BooleanSupplier needed, BooleanSupplier reachesStore, Runnable onStalled) {
         this.loop = loop;
@@ -53,7 +52,7 @@
         loop.after(CHECK_MILLIS, this::check);
     }
 
-    /** Takes in that something has been read. Any thread may tell. */
+    /** Records that data has been read. Thread-safe. */
     void onProgress() {
         lastProgressAt = loop.clock().millis();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StoreFailure.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/StoreFailure.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CompletionException;
 import org.lupinpaddle.daemon.port.StoreException;
 
-/** Reads why a call to the store was not served. */
+/** Extracts the reason why a store call was not served. */
 final class StoreFailure {
 
     private StoreFailure() {}
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SubmitOutcome.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SubmitOutcome.java
@@ -15,18 +15,18 @@
  */
 package org.lupinpaddle.daemon.jobs;
 
-/** What a caller is told of a job it hands in. */
+/** The outcome of a submission, as reported to the caller. */
 public enum SubmitOutcome {
-    /** The job is kept. */
+    /** The job is stored durably. */
     ACCEPTED,
-    /** There is no such queue. */
+    /** The queue does not exist. */
     NO_QUEUE,
     /** The queue requires a key, and the request has no valid one. */
     UNKNOWN_KEY,
     /** The id is already in use in this queue by a job of another workspace. */
     ID_TAKEN,
-    /** Not taken, and it never will be by this call; come back later. */
+    /** The job was not accepted and this call will not store it later; the caller should retry. */
     NOT_TAKEN,
-    /** Not known: the store did not say whether it is kept. Sending the same id again is safe. */
+    /** The store did not report whether the job is stored. Submitting the same id again is safe. */
     UNKNOWN
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntries.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntries.java
@@ -31,69 +31,70 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * The entries of the store that this process could not read when it last saw them. Each is told of in one log line, and
- * again when what is wrong with it changes. Any thread may call.
+ * Tracks the store entries that this process could not read when it last saw them. Each is logged once, and again
+ * when its error changes. Thread-safe.
  */
 public final class UnreadableEntries {
 
-    // Another writer may write any number of entries: beyond so many, new ones are counted but not told of one by one.
+    // Another writer may create any number of unreadable entries; beyond this limit, new ones are counted but not
+    // logged individually.
     private static final int MAX_TRACKED = 1_000;
 
     private final JobMetrics meters;
     private final Map<String, Entry> byKey = new HashMap<>();
     private boolean overflowLogged;
 
-    /** What an entry would say if it could be read. */
+    /** The kind of record that an entry should contain. */
     public enum Kind {
-        /** What a worker says of itself. */
+        /** A worker's record about itself. */
         WORKER,
         /** The operators' configuration. */
         CONFIGURATION,
         /** A workspace entry of the operators' configuration. */
         WORKSPACE,
-        /** A wave of upkeep that the operators ask for. */
+        /** A maintenance wave requested by the operators. */
         WAVE,
-        /** A job as it was accepted. */
+        /** An accepted job. */
         JOB,
-        /** How far a job is. */
+        /** The progress of a job. */
         PROGRESS,
         /** The quota allocation of a workspace. */
         QUOTA,
-        /** A request to empty a worker. */
+        /** A request to evacuate a worker. */
         EVACUATION,
-        /** What a service has to do and with what. */
+        /** The load of a service and its demand for workers. */
         REPORT,
-        /** How far a wave of upkeep is. */
+        /** The progress of a maintenance wave. */
         UPKEEP,
-        /** Which instances were ordered lately. */
+        /** The recently ordered instances. */
         RECENT_ORDERS,
-        /** How much an entry of the fleet can do. */
+        /** The capacity of an entry of the fleet. */
         CAPACITY,
         /** A row of the platform's list of instances. */
         INSTANCE;
 
-        /** Returns the word for it in log lines and names of figures. */
+        /** Returns the name of this kind in log lines and metric names. */
         String label() {
             return name().toLowerCase(Locale.ROOT).replace('_', '-');
         }
     }
 
     /**
-     * One of them.
+     * An unreadable entry.
      *
-     * @param kind what it would say
-     * @param key its key
-     * @param revision the revision at which it was first unreadable for this reason
-     * @param why what is wrong with it
+     * @param kind the expected kind
+     * @param key the key
+     * @param revision the revision at which the entry was first unreadable for this reason
+     * @param why why it is unreadable
      */
     public record Entry(Kind kind, String key, long revision, Unreadable why) {}
 
-    /** Makes an empty list. */
+    /** Creates an empty collection. */
     public UnreadableEntries(JobMetrics meters) {
         this.meters = meters;
     }
 
-    /** Takes in what came of reading an item, and returns its record; null when it is unreadable. */
+    /** Updates the state of an item after an attempt to parse it, and returns the record; null if it is unreadable. */
     <T> @Nullable T recordOrNull(Kind kind, StoreItem item, Either<Unreadable, T> record) {
         if (record.isRight()) {
             markReadable(item.key());
@@ -103,7 +104,7 @@
         return null;
     }
 
-    /** Takes in that an entry can not be read. */
+    /** Records that an entry is unreadable. */
     synchronized void markUnreadable(Entry e) {
         Entry known = byKey.get(e.key());
         if (known != null && known.why().equals(e.why())) {
@@ -126,7 +127,7 @@
         }
     }
 
-    /** Takes in that an entry can be read. */
+    /** Records that an entry is readable. */
     synchronized void markReadable(String key) {
         Entry e = byKey.remove(key);
         if (e != null) {
@@ -134,27 +135,27 @@
         }
     }
 
-    /** Takes in that an entry is gone. */
+    /** Records that an entry was removed. */
     synchronized void onRemoved(String key) {
         byKey.remove(key);
     }
 
-    /** Takes in all items that there are under a prefix: what is not among them is gone. */
+    /** Forgets all entries under a prefix except the given items. */
     void retainOnly(String prefix, Collection<StoreItem> items) {
         retainOnly(prefix, items.stream().map(StoreItem::key).collect(Collectors.toSet()));
     }
 
-    /** Takes in all keys that there are under a prefix: what is not among them is gone. */
+    /** Forgets all entries under a prefix except the given keys. */
     synchronized void retainOnly(String prefix, Set<String> keys) {
         byKey.keySet().removeIf(k -> k.startsWith(prefix) && !keys.contains(k));
     }
 
-    /** Returns all of them, in the order of their keys. */
+    /** Returns the unreadable entries, ordered by key. */
     public synchronized List<Entry> snapshot() {
         return new ArrayList<>(new TreeMap<>(byKey).values());
     }
 
-    /** Returns how many there are. */
+    /** Returns the number of unreadable entries. */
     synchronized int count() {
         return byKey.size();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntriesQuery.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntriesQuery.java
@@ -31,7 +31,10 @@
 import org.lupinpaddle.daemon.port.PlatformRecords;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** Answers which entries of the store can not be read now, from the store itself: a line for each. */
+/**
+ * Lists the entries of the store that are currently unreadable, one line each. Reads them from the store rather than
+ * from this process's state.
+ */
 final class UnreadableEntriesQuery {
 
     private final KeyValueStore store;
@@ -42,12 +45,12 @@
         this.records = records;
     }
 
-    /** What is wrong with an item; nothing for one that can be read, or that is none of its kind. */
+    /** Returns why an item is unreadable; empty if it is readable or not of the expected kind. */
     private interface Validator {
         Optional<Unreadable> validate(StoreItem i);
     }
 
-    /** Returns lines of all kinds. */
+    /** Lists unreadable entries of all kinds. */
     CompletableFuture<List<String>> all() {
         return check(records.configurationKey(), this::configuration)
                 .thenCombine(check(records.workerPrefix(), i -> why(records.worker(i))), UnreadableEntriesQuery::concat)
@@ -56,7 +59,7 @@
                 .thenCombine(ofJobs(), UnreadableEntriesQuery::concat);
     }
 
-    /** Returns lines of jobs and their progress: such a job is left alone. */
+    /** Lists unreadable jobs and progress records; the schedulers leave such jobs alone. */
     CompletableFuture<List<String>> ofJobs() {
         return check(JobKeys.allInputs(), UnreadableEntriesQuery::ofJob)
                 .thenCombine(
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
@@ -27,10 +27,10 @@
 import org.lupinpaddle.daemon.port.StoreChanges;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** The workers that the platform lists now. */
+/** Follows the workers that the platform lists. */
 final class WorkerFeed implements PrefixWatch.Listener, AutoCloseable {
 
-    // Some worker's record changes every few dozen milliseconds; a leaving worker gives 2 s notice.
+    // Workers' records change every few dozen milliseconds; a worker gives 2 s notice before it leaves.
     private static final long BATCH_MILLIS = 250;
 
     private final PlatformRecords records;
@@ -55,7 +55,7 @@
         watch.start();
     }
 
-    /** Returns since when the list may be out of date. */
+    /** Returns the time since which the list may be out of date. */
     long confirmedAt() {
         return watch.confirmedAt();
     }
@@ -87,8 +87,8 @@
     }
 
     /**
-     * A worker whose record can not be read is not listed, also when it was before: nothing is started there. What runs
-     * there is held on: its owner goes on with the address that it has.
+     * Removes a worker with an unreadable record from the list, so nothing new is started on it. Its running tasks
+     * are kept: the owner continues to use the known address.
      */
     private void take(StoreItem item) {
         WorkerFacts w = unreadable.recordOrNull(Kind.WORKER, item, records.worker(item));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
@@ -18,7 +18,7 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.daemon.common.EventLoop;
 
-/** Runs each step at once. */
+/** Runs each step immediately and never runs scheduled steps. */
 final class DirectLoop implements EventLoop {
 
     private long now;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -59,14 +59,14 @@
 import org.lupinpaddle.daemon.port.StorePage;
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
-/** What a service's owner has called empty stays empty, also when another owner follows. */
+/** Tests that a worker which its service's owner reported as empty gets no tasks from a succeeding owner either. */
 class EmptiedWorkerTest {
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final Workers orders = new Workers();
 
-    /** Answers each hold 20 ms later, and takes each start. */
+    /** Answers each hold order after 20 ms and accepts each start. */
     private final class Workers implements WorkerOrders {
         private final List<String> startedOn = new ArrayList<>();
         private List<RunningReport> running = List.of();
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Takes a while for the pages of a prefix, since an answer was lost; for the empty one it is slow in all. */
+    /** Delays the pages of a prefix, as after a lost answer; with an empty prefix it delays all pages and commits. */
     private final class SlowStore implements KeyValueStore {
         private final String prefix;
         private final long millis;
@@ -226,7 +226,7 @@
         addEmptiedWorkerAndPendingJob();
         owner(JobKeys.evacuations("clips"), 300);
         advance(1_000);
-        assertTrue(orders.startedOn.isEmpty(), "its instance may be ordered away at any moment: it was called empty");
+        assertTrue(orders.startedOn.isEmpty(), "the instance of a worker reported as empty may be moved at any moment");
     }
 
     @Test
@@ -234,10 +234,12 @@
         addEmptiedWorkerAndPendingJob();
         owner("", 250);
         advance(3_000);
-        assertTrue(orders.startedOn.isEmpty(), "it was chosen before the requests were read, and started after");
+        assertTrue(
+                orders.startedOn.isEmpty(),
+                "the worker was chosen before the requests were read, and the task started afterwards");
     }
 
-    /** Its worker drains, and may be gone before the next owner has asked it; one write of its end is lost. */
+    /** The worker drains and may be gone before the next owner contacts it; the first write of the result is lost. */
     @Test
     void receivedResultIsWrittenAfterTheHostCloses() {
         addWorkerAndJob();
@@ -256,6 +258,6 @@
         JobProgress left = RecordCodec.read(
                         store.value(JobKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
                 .get();
-        assertTrue(left.over(), "heard some milliseconds before the hand-over: " + left);
+        assertTrue(left.over(), "received some milliseconds before the hand-over: " + left);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
@@ -117,7 +117,7 @@
             feed.start();
             feed.answerEmpty("w1");
             store.notifyWatches();
-            // The owner of the fleet got no answer to its first write, and writes the request again.
+            // The fleet's owner got no answer to its first write and writes the request again.
             store.set(KEY, REQUEST);
             store.notifyWatches();
             feed.answerEmpty("w1");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
@@ -33,10 +33,10 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.StorePage;
 
-/** A store in memory that can leave commits unanswered and carry them out later. */
+/** An in-memory store that can leave commits unanswered and apply them later. */
 final class FakeKeyValueStore implements KeyValueStore {
 
-    /** What a call takes at most: conditions, puts and removals together. */
+    /** The maximum number of conditions, puts and removals in a commit. */
     private static final int MAX_ROWS = 32;
 
     private final Map<String, StoreItem> items = new HashMap<>();
@@ -51,32 +51,32 @@
     /** Whether commits wait, unanswered, until {@link #answerNext} is called. */
     boolean delaysCommits;
 
-    /** How long a value may be. */
+    /** The maximum length of a value. */
     int maxValueLength = Integer.MAX_VALUE;
 
-    /** How many commits have been asked for. */
+    /** The number of requested commits. */
     int commits;
 
-    /** How many reads of a single key have been requested. */
+    /** The number of requested reads of single keys. */
     int reads;
 
-    /** Whether reads of a single key stay unanswered. */
+    /** Whether reads of single keys stay unanswered. */
     boolean dropsReads;
 
-    /** How many renewals of leases have been asked for. */
+    /** The number of requested lease renewals. */
     int renewals;
 
-    /** How many of the next renewals of leases get no answer and are not done. */
+    /** The number of following lease renewals that get no answer and have no effect. */
     int renewalsToLose;
 
-    /** The renewals that were lost, for a test to fail when their time is over. */
+    /** The lost renewals, which a test fails after their time limit. */
     final Deque<CompletableFuture<Boolean>> lostRenewals = new ArrayDeque<>();
 
     private final Deque<Delayed> delayed = new ArrayDeque<>();
 
     private record Delayed(StoreCommit commit, CompletableFuture<CommitResult> answer) {}
 
-    /** Whether commits get no answer, and are kept to be carried out later. */
+    /** Whether commits are reported as unanswered and are kept to be applied later. */
     boolean dropsCommitAnswers;
 
     long set(String key, String value) {
@@ -85,13 +85,13 @@
         return revision;
     }
 
-    /** Puts bytes that are no text. */
+    /** Writes bytes that are not valid text. */
     void setNonText(String key) {
         revision++;
         items.put(key, StoreItem.notText(key, revision, 0));
     }
 
-    /** Removes an item; watches are answered with the next change. */
+    /** Removes an item; watches report it with the next notification. */
     void remove(String key) {
         revision++;
         items.remove(key);
@@ -103,13 +103,13 @@
         return i == null ? "" : i.value();
     }
 
-    /** Carries out the commits that were kept, if their conditions still hold. */
+    /** Applies the kept commits if their conditions still hold. */
     void applyDroppedCommits() {
         droppedCommits.forEach(this::apply);
         droppedCommits.clear();
     }
 
-    /** Carries out the commit that has waited longest, and answers it; returns whether there was one. */
+    /** Applies and answers the oldest waiting commit; returns whether there was one. */
     boolean answerNext() {
         Delayed d = delayed.poll();
         if (d != null) {
@@ -118,7 +118,7 @@
         return d != null;
     }
 
-    /** Returns whether a write of the fleet's newest orders waits for its answer. */
+    /** Returns whether a write of the fleet's recent orders waits for its answer. */
     boolean hasDelayedRecentOrders() {
         return delayed.stream()
                 .anyMatch(d -> d.commit.puts().stream().anyMatch(p -> p.key().equals(JobKeys.recentOrders())));
@@ -191,7 +191,7 @@
     /** The prefix whose watches get no answer; empty for none. */
     String mutedPrefix = "";
 
-    /** Answers the watches that wait, with what was written or removed since. */
+    /** Answers the pending watches with the items written or removed since. */
     void notifyWatches() {
         List<PendingWatch> answered = pendingWatches.stream()
                 .filter(w -> mutedPrefix.isEmpty() || !w.prefix.equals(mutedPrefix))
@@ -217,7 +217,7 @@
         return CompletableFuture.completedFuture(leases);
     }
 
-    /** Leases never end by themselves. */
+    /** Leases never expire by themselves. */
     @Override
     public CompletableFuture<Boolean> keepLease(long lease) {
         renewals++;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeRecords.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeRecords.java
@@ -23,7 +23,7 @@
 import org.lupinpaddle.daemon.port.PlatformRecords;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** Records of a platform as tests write them. */
+/** Locates and parses platform records that tests write in the format of the stored records. */
 final class FakeRecords implements PlatformRecords {
 
     static final String CONFIGURATION = "configuration";
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
 
-/** The two conditions of an owner's writes: without either, one of these tests fails. */
+/** Tests both conditions of an owner's writes; without either of them, a test fails. */
 class FencedRecordWriterTest {
 
     private static final String KEY = "record";
@@ -45,7 +45,7 @@
         void isRequiredForAWrite() {
             write("mine");
             store.set(JobKeys.owner("clips"), "entry-2");
-            write("not mine any more");
+            write("no longer owner");
             assertEquals("mine", store.value(KEY));
             assertEquals(List.of(FencedRecordWriter.Outcome.SAVED, FencedRecordWriter.Outcome.NOT_OWNER), outcomes);
         }
@@ -104,7 +104,7 @@
                 records.writeInOrder(Map.of(KEY + i, "value"), () -> {});
             }
             while (store.answerNext()) {
-                // One after the other, as the store answers.
+                // Answers the writes one by one.
             }
             assertEquals("value", store.value(KEY + 45));
             assertEquals(1 + 45 / FencedRecordWriter.MAX_RECORDS_PER_WRITE, store.commits);
@@ -117,7 +117,7 @@
                 records.writeInOrder(Map.of(KEY, "value " + i), () -> {});
             }
             while (store.answerNext()) {
-                // One after the other, as the store answers.
+                // Answers the writes one by one.
             }
             assertEquals("value 45", store.value(KEY));
             assertEquals(2, store.commits);
@@ -140,7 +140,7 @@
                 records.writeInOrder(Map.of(KEY + i, value), () -> {});
             }
             for (int i = 0; i < 20 && store.answerNext(); i++) {
-                // One after the other, as the store answers.
+                // Answers the writes one by one.
             }
             assertEquals("short", store.value(KEY + 3));
             assertEquals("", store.value(KEY + 2));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -34,7 +34,9 @@
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** A hand-over says what this process has ordered; what others have ordered is as recent as before. */
+/**
+ * Tests that a hand-over shortens the wait only for orders of this process, not for recent orders of earlier owners.
+ */
 class FleetHandOverTest {
 
     private static final long OWNER_LEASE_MILLIS = 3_000;
@@ -107,7 +109,7 @@
         int before = holders.size();
         FleetHost second = owner("entry-2");
         advance(200);
-        assertEquals(before, holders.size(), "it leaves the instance alone");
+        assertEquals(before, holders.size(), "the second owner must not order the instance yet");
         second.handOver(HandOverReason.ENTRY_SHUTDOWN);
         advance(100);
         second.close();
@@ -115,6 +117,6 @@
         advance(6_000);
         assertEquals("entry-3", holders.get(before));
         long between = orderedAt.get(before) - last;
-        assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms after the order of entry-1, which is alive");
+        assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms after the order of entry-1, which still runs");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -36,13 +36,14 @@
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** Which instances the owners of a fleet order when, as one follows the other. */
+/** Tests when successive owners of the fleet may order the same instance. */
 class FleetHostTest {
 
     private static final long UPKEEP_MILLIS = 2_000;
-    /** The platform asks for so long between the orders of two owners to one instance. */
+    /** The time that the platform requires between orders of two owners for one instance. */
     private static final long OWNER_LEASE_MILLIS = 3_000;
-    // What an owner knows of its last order's age when it ends: it writes it down every so often.
+    // The interval at which an owner records the age of its last order, which limits how exactly its successor knows
+    // that age.
     private static final long RECORD_INTERVAL_MILLIS = 500;
     private static final long STEP_MILLIS = 50;
 
@@ -50,7 +51,7 @@
     private final TimedLoop loop = new TimedLoop();
     private final Instances instances = new Instances();
 
-    /** A platform whose list always shows one instance that stands by. */
+    /** A platform that always lists one spare instance. */
     private final class Instances implements InstanceOrders {
 
         private final List<Long> orderedAt = new ArrayList<>();
@@ -112,7 +113,7 @@
         }
     }
 
-    /** Lets one owner after the other own the fleet for this long. */
+    /** Lets each of the entries in turn own the fleet for the given time. */
     private void runOwners(long eachMillis, String... names) {
         for (String n : names) {
             FleetHost host = owner(n);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
@@ -29,15 +29,14 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /**
- * An entry that is stopped as planned owns a service, and has heard some milliseconds ago that a task is done. The write
- * of that is under way. It used to end its lease at once: with the lease goes the key on which the write depends, so the
- * store refuses it, the record goes on saying that the task runs, and the next owner runs it again if the task's worker has
- * left before it was asked. The log showed {@code lease-given-back} in the millisecond of {@code stopping}, with a
- * {@code RUN_ENDED} before it whose record no owner ever wrote.
+ * Guards against losing a received result in a planned stop. An entry that ended its lease at once also removed the
+ * key that its writes depend on. A write in progress was then refused, the record still showed the task as running,
+ * and the next owner ran the task again if its worker had left. The log showed {@code lease-given-back} in the same
+ * millisecond as {@code stopping}, after a {@code RUN_ENDED} whose record no owner ever wrote.
  */
 class HandOverTest {
 
-    /** An entry that stops serves callers on for so long in any case: what a hand-over takes beyond it delays the stop. */
+    /** The time for which a stopping entry serves callers in any case; a longer hand-over delays the stop. */
     private static final long SHUTDOWN_SERVING_MILLIS = 3_000;
 
     private final NodeFixture f = new NodeFixture();
@@ -45,7 +44,7 @@
     @Nested
     class OfAService {
 
-        /** One write of an end got no answer and was not made. */
+        /** The write of a result got no answer and was not applied. */
         @Test
         void waitsUntilReceivedResultsAreWritten() {
             f.startServing("w1");
@@ -56,11 +55,13 @@
             f.advance(20);
             f.store.dropsCommitAnswers = false;
             f.advance(1_000);
-            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")), "the next owner would run it again");
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")), "the next owner would run the task again");
             assertFalse(f.owns("clips"));
         }
 
-        /** The write was made and only its answer was lost: what lies in the store is newer than what was last known. */
+        /**
+         * The write was applied but its answer was lost, so the stored record is newer than the last known revision.
+         */
         @Test
         void waitsUntilAnUnansweredWriteIsConfirmed() {
             f.startServing("w1", "w2");
@@ -74,11 +75,11 @@
             f.store.dropsCommitAnswers = false;
             f.advance(1_000);
             assertTrue(f.isRecordedAsFinished(f.jobOn("w1")));
-            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "heard before the stop");
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "the result was received before the stop");
             assertFalse(f.owns("clips"));
         }
 
-        /** Its worker leaves within the 2 s of its notice: whoever follows may come too late to ask it. */
+        /** The worker leaves after a notice of 2 s, so the next owner may be too late to contact it. */
         @Test
         void waitsForAResultOfADrainingWorkerThatArrivesMeanwhile() {
             f.startServing("w1", "w2");
@@ -92,11 +93,13 @@
             f.advance(60);
             f.store.dropsCommitAnswers = false;
             f.advance(1_000);
-            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "it ended while the hand-over waited for the other write");
+            assertTrue(
+                    f.isRecordedAsFinished(f.jobOn("w2")),
+                    "the task ended while the hand-over waited for the other write");
             assertFalse(f.owns("clips"));
         }
 
-        /** What the next owner finds out by asking workers takes time; what begins now would be begun under both. */
+        /** The next owner needs time to contact the workers; a task started now would be started by both owners. */
         @Test
         void startsNoTaskOnceInProgress() {
             f.startServing("w1");
@@ -107,7 +110,7 @@
             assertEquals(1, f.workers.starts.size());
         }
 
-        /** Nobody starts the callers' jobs meanwhile, and while the store answers nobody there is no use in waiting. */
+        /** No jobs start during a hand-over, and waiting is useless while the store answers nobody. */
         @Test
         void doesNotWaitLongerForTheStoreThanTheEntryServes() {
             f.startServing("w1");
@@ -118,7 +121,7 @@
             assertTrue(f.millisUntilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SHUTDOWN_SERVING_MILLIS);
         }
 
-        /** Without anything to write a service has a free key as soon as before: what callers wait for is the next owner. */
+        /** Without pending writes the key is released at once, since callers wait for the next owner. */
         @Test
         void isImmediateWithoutPendingWrites() {
             f.startServing("w1");
@@ -138,8 +141,8 @@
         }
 
         /**
-         * The record of what has been ordered was being written as the stop came: the successor has to be told what became
-         * of it, or leaves the instance alone for seconds while jobs wait for it.
+         * The record of orders was being written when the stop was requested. The successor must learn the outcome;
+         * otherwise it leaves the instance alone for seconds while jobs wait for it.
          */
         @Test
         void recordsTheFateOfOrdersWhoseRecordWasBeingWritten() {
@@ -149,7 +152,7 @@
             for (int i = 0; i < 40 && !f.store.hasDelayedRecentOrders(); i++) {
                 f.advance(NodeFixture.STEP_MILLIS);
             }
-            assertTrue(f.store.hasDelayedRecentOrders(), "the order's record waits for its answer");
+            assertTrue(f.store.hasDelayedRecentOrders(), "the write of the order's record must be unanswered");
             f.node.stop();
             f.advance(NodeFixture.STEP_MILLIS);
             f.store.delaysCommits = false;
@@ -157,8 +160,8 @@
                 f.advance(NodeFixture.STEP_MILLIS);
             }
             f.advance(500);
-            assertTrue(f.instances.orders.isEmpty(), "a stopping owner orders nothing");
-            assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "nothing was ordered after all");
+            assertTrue(f.instances.orders.isEmpty(), "a stopping owner must not order instances");
+            assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "the instance was not ordered");
             assertFalse(f.owns(DUTY));
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
 
-/** What operators are told of jobs, from the store alone. */
+/** Tests the answers to operators' commands about jobs, which are read from the store alone. */
 class JobCommandExecutorTest {
 
     private static final JobKey A = new JobKey("q", "a");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobExplanationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobExplanationTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskRecord;
 
-/** What {@code lupinctl job explain} says. */
+/** Tests the output of {@code lupinctl job explain}. */
 class JobExplanationTest {
 
     private static final StepSpec FIRST =
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -42,7 +42,7 @@
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.Workspaces;
 
-/** What a caller is told when a job is handed in. */
+/** Tests the answers that callers get when they submit, query and cancel jobs. */
 class JobIntakeTest {
 
     private static final String JOB = JobKeys.job("clips", new JobKey("q", "a"));
@@ -95,7 +95,7 @@
         void isRefusedWhileTheStoreDoesNotAnswer() {
             reached = false;
             assertEquals(SubmitOutcome.NOT_TAKEN, submit());
-            assertEquals("", store.value(JOB), "nothing may be written that was refused");
+            assertEquals("", store.value(JOB), "a refused job must not be written");
         }
 
         @Test
@@ -103,7 +103,7 @@
             store.dropsCommitAnswers = true;
             assertEquals(SubmitOutcome.UNKNOWN, submit());
             store.applyDroppedCommits();
-            assertEquals(false, store.value(JOB).isEmpty(), "the write came late");
+            assertEquals(false, store.value(JOB).isEmpty(), "the write was applied late");
         }
 
         @Test
@@ -165,7 +165,7 @@
         }
     }
 
-    /** Its record is small by then; what callers are told is the same. */
+    /** The stored record of a finished job is reduced; callers must get the same answers as before. */
     @Nested
     class FinishedJob {
 
@@ -285,7 +285,10 @@
             assertEquals(JobAnswer.of(JobState.RUNNING), intake.state(own, "a").join());
         }
 
-        /** Guards against cancelling an ended job of another workspace, whose own record no longer names it. */
+        /**
+         * Guards against cancelling an ended job of another workspace, whose own record no longer names the
+         * workspace.
+         */
         @Test
         void givesNoAccessToEndedJobsOfOtherWorkspaces() {
             configure(2, "k1");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
@@ -31,7 +31,7 @@
 import org.lupinpaddle.daemon.common.HttpListener;
 import org.lupinpaddle.daemon.common.MetricsEndpoint;
 
-/** The figures of an entry, as a scraper reads them. */
+/** Tests the metrics of an entry as a scraper reads them. */
 class JobMetricsTest {
 
     private final JobMetrics meters = new JobMetrics();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An entry's lease while the store leaves renewals unanswered. */
+/** Tests an entry's lease while the store leaves renewals unanswered. */
 class LeaseRenewalTest {
 
-    // As long as a renewal waits for its answer.
+    // The time limit of a renewal call.
     private static final long CALL_MILLIS = 500;
     private static final long STEP_MILLIS = 10;
     private static final long SETTLED_MILLIS = 2_000;
     private static final long RENEWAL_INTERVAL_MILLIS = 450;
-    // Longer than a lease, and than any that is lost here.
+    // Longer than a lease and than any sequence of lost renewals in these tests.
     private static final long LONG_MILLIS = 5_000;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
@@ -52,7 +52,7 @@
         advance(SETTLED_MILLIS);
     }
 
-    /** Lets time pass and returns whether the lease has alive all the while. */
+    /** Advances the time and returns whether the lease was alive throughout. */
     private boolean advance(long millis) {
         boolean alive = true;
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
@@ -75,7 +75,7 @@
     @Test
     void survivesThreeConsecutiveLostRenewals() {
         store.renewalsToLose = 3;
-        assertTrue(advance(LONG_MILLIS), "there is time for a fourth before it ends");
+        assertTrue(advance(LONG_MILLIS), "a fourth renewal fits in before the lease expires");
     }
 
     @Test
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
 
-/** What is concluded from records of members, also where another writer has put something into their place. */
+/** Tests the conclusions drawn from member records, including records replaced by another writer. */
 class MemberRegistryTest {
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -55,13 +55,13 @@
 import org.lupinpaddle.daemon.port.WorkerOrders;
 import org.lupinpaddle.daemon.settings.JobSettings;
 
-/** One entry on a store in memory and on virtual time, with workers that do as a test says. */
+/** Runs one entry with an in-memory store, virtual time and workers controlled by the test. */
 final class NodeFixture {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
     static final long STEP_MILLIS = 10;
     private static final long LEASE_MILLIS = 3_000;
-    /** What the platform gives a process between its signal to stop and its end, in seconds. */
+    /** The time that the platform allows between the stop signal and the end of a process, in seconds. */
     static final long GRACE_SECONDS = 6;
 
     final FakeKeyValueStore store = new FakeKeyValueStore();
@@ -70,7 +70,7 @@
     final Instances instances = new Instances();
     final JobNode node = node();
 
-    /** Answers each hold at once when something has ended, else after 20 ms; takes each order. */
+    /** Answers each hold order after 20 ms and accepts all orders. */
     final class Workers implements WorkerOrders {
         final List<StartOrder> starts = new ArrayList<>();
         private final Map<String, List<RunningReport>> running = new HashMap<>();
@@ -116,7 +116,7 @@
         }
     }
 
-    /** Lists what it is given; an order is answered when a test says so. */
+    /** Lists the given instances; the test completes the orders. */
     static final class Instances implements InstanceOrders {
         List<PlatformInstance> all = List.of();
         final List<CompletableFuture<InstanceOrderOutcome>> orders = new ArrayList<>();
@@ -176,7 +176,7 @@
         store.set(JobKeys.job("clips", key), RecordCodec.write(spec));
     }
 
-    /** The node owns the service and the fleet, and a task runs on each of the workers. */
+    /** Starts the node, which then owns the service and the fleet, with one task running on each worker. */
     void startServing(String... ids) {
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         List<QueueConfig> queues = List.of(new QueueConfig("q", "host", "/q/", "clips", policy));
@@ -189,7 +189,7 @@
         }
         node.start();
         advance(2_000);
-        assertEquals(ids.length, workers.starts.size(), "one task runs on each worker");
+        assertEquals(ids.length, workers.starts.size(), "one task must run on each worker");
     }
 
     void endRunOn(String worker) {
@@ -214,7 +214,7 @@
         return !store.value(JobKeys.owner(duty)).isEmpty();
     }
 
-    /** Lets time pass until the duty is free; returns how long that took. */
+    /** Advances the time until the duty has no owner and returns how long that took. */
     long millisUntilFree(String duty, long maxMillis) {
         long startedAt = loop.clock().millis();
         while (owns(duty) && loop.clock().millis() - startedAt < maxMillis) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
 
-/** A duty is held under one fence from its taking to its end, and under a greater one after that. */
+/** Tests that a duty is held under one fence from its acquisition to its end, and under a greater one after that. */
 class OwnershipManagerTest {
 
     private static final long SOON_MILLIS = 3_000;
@@ -60,11 +60,11 @@
         assertEquals(1, fences.size());
     }
 
-    /** The store still says that the duty is this entry's, after it has given it up. */
+    /** The store still shows this entry as the owner after it has given up the duty. */
     @Nested
     class ReacquiredDuty {
 
-        /** Orders and writes of its first time may still be under way, and must meet a greater fence. */
+        /** Orders and writes with the first fence may still be in flight and must meet a greater one. */
         @Test
         void hasAGreaterFence() {
             acquireClips();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
@@ -62,15 +62,15 @@
         @Test
         void isFinished() {
             assertTrue(jobs.isFinished(OVER));
-            assertTrue(jobs.isFinished(OVER), "nor when its record is seen again");
+            assertTrue(jobs.isFinished(OVER), "still finished when its record is read again");
         }
 
         @Test
         void staysFinishedUntilItsRecordsAreRemoved() {
-            assertNotNull(jobs.takeProgress(OVER), "a scheduler had taken it, and has let it go now");
+            assertNotNull(jobs.takeProgress(OVER), "a scheduler took the job and has released it");
             store.dropsCommitAnswers = true;
             jobs.removeExpired(List.of(OVER));
-            assertTrue(jobs.isFinished(OVER), "the store has not answered; its record may be read again");
+            assertTrue(jobs.isFinished(OVER), "the removal is unanswered, so the record may be read again");
             store.dropsCommitAnswers = false;
             jobs.removeExpired(List.of());
             assertFalse(jobs.isFinished(OVER));
@@ -83,7 +83,7 @@
 
         @Test
         void isPassedToTheScheduler() {
-            assertFalse(jobs.isFinished(LIVE), "its task must still be stopped");
+            assertFalse(jobs.isFinished(LIVE), "the job's task must still be stopped");
             assertNotNull(jobs.takeProgress(LIVE));
         }
     }
@@ -93,7 +93,7 @@
 
         private static final JobKey COUNTED = new JobKey("q", "counted");
 
-        /** Without its job it would be begun anew, and what is wrong with it would stay unknown. */
+        /** Without the job's other progress it would be started anew, and the error would stay unreported. */
         @Test
         void isPassedToTheSchedulerAndReported() {
             store.set(
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -52,10 +52,10 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
-/** What the owner of a service leaves in the store, which is what its successor has to read. */
+/** Tests the records that the owner of a service leaves in the store for its successor to read. */
 class SchedulerHostTest {
 
-    // As long as a text may well be; the steps come on top.
+    // A realistic length of a job's text; the steps are added to it.
     private static final String TEXT = "x".repeat(2_000);
     private static final String REDUCED = "over";
     private static final long INHERITED_MILLIS = 7_000;
@@ -148,7 +148,7 @@
                 assertTrue(progress("job-" + i).over());
             }
             int bytes = bytesReadBySuccessor();
-            assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " jobs that are over");
+            assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " finished jobs");
         }
 
         @Test
@@ -319,7 +319,7 @@
         }
     }
 
-    /** No worker is listed, and none answers. */
+    /** Workers that never answer. */
     private static final class NoWorkers implements WorkerOrders {
         private static final CompletableFuture<OrderOutcome> SILENCE =
                 CompletableFuture.completedFuture(OrderOutcome.UNKNOWN);
@@ -345,7 +345,7 @@
         }
     }
 
-    /** The list of instances is empty. */
+    /** An empty list of instances. */
     private static final class NoInstances implements InstanceOrders {
         @Override
         public CompletableFuture<InstanceList> list() {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
@@ -28,11 +28,11 @@
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
 /**
- * The fleet's owner asks for a worker to be empty, the answer comes, and the errand ends before it was acted on, since the
- * platform's list shows the instance out of order. The list shows it up again, and the owner asks for the same errand on the same
- * worker anew. Its watch of the store is behind and still holds the answer to the first request: the instance was ordered away
- * while tasks ran on it. The log shows {@code errand-begun} and {@code errand-ordered} within one tick, and no
- * {@code worker-emptied} between them.
+ * Guards against taking the answer to an old evacuation request for that of a new one. The fleet's owner requests the
+ * evacuation of a worker and gets the answer, but the errand is cancelled because the list shows the instance as
+ * down. When the instance is up again, the owner makes the same request while its lagging watch still shows the old
+ * answer, and the instance was ordered away while tasks ran on it. The log showed {@code errand-begun} and {@code
+ * errand-ordered} within one tick, without {@code worker-emptied} between them.
  */
 class StaleEvacuationAnswerTest {
 
@@ -63,20 +63,20 @@
         listInstance(PlatformInstance.State.UP);
         f.store.set("wave/1", RecordCodec.write(new UpkeepWave(1, List.of("m1"), 60_000, 2)));
         f.advance(200);
-        assertFalse(requestFor("w1").isEmpty(), "the worker is asked to be empty");
+        assertFalse(requestFor("w1").isEmpty(), "the evacuation of the worker must be requested");
         listInstance(PlatformInstance.State.UNKNOWN);
         f.endRunOn("w1");
         f.advance(200);
         assertTrue(isReportedEmpty("w1"));
         f.store.mutedPrefix = JobKeys.fleet();
         listInstance(PlatformInstance.State.DOWN);
-        assertTrue(requestFor("w1").isEmpty(), "the errand is over");
+        assertTrue(requestFor("w1").isEmpty(), "the errand must have ended");
         f.submit("next");
         f.advance(LIST_MILLIS);
-        assertEquals(2, f.workers.starts.size(), "the worker has work again");
+        assertEquals(2, f.workers.starts.size(), "a new task must run on the worker");
         listInstance(PlatformInstance.State.UP);
-        assertFalse(isReportedEmpty("w1"), "asked anew, and at work");
+        assertFalse(isReportedEmpty("w1"), "the new request must be unanswered while a task runs");
         f.advance(2 * LIST_MILLIS);
-        assertEquals(0, f.instances.orders.size(), "its order ends what runs there");
+        assertEquals(0, f.instances.orders.size(), "an order would end the running task");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/TimedLoop.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/TimedLoop.java
@@ -20,7 +20,7 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.daemon.common.EventLoop;
 
-/** Runs steps in the order of their times, on a clock that a test moves on. */
+/** Runs steps in order of their times on a clock that the test advances. */
 final class TimedLoop implements EventLoop {
 
     private final PriorityQueue<Step> steps =
@@ -30,7 +30,7 @@
 
     private record Step(long at, long number, Runnable what) {}
 
-    /** Lets a time pass. */
+    /** Advances the clock and runs the steps that become due. */
     void advance(long millis) {
         long until = now + millis;
         while (!steps.isEmpty() && steps.peek().at <= until) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
@@ -24,14 +24,14 @@
 import org.lupinpaddle.core.job.StepSpec;
 
 /**
- * A caller cancels a job and is told so; the cancellation is in the store. The store goes away in the same moment, before the
- * watch of the service's jobs has shown it to their owner. When the store is back the list of workers is confirmed first, and
- * the owner started the job's next step by it, seconds after the cancellation was answered: {@code TASK_PLACED} of step 1
- * stands 1 s after the store's return in the log, and no {@code JOB_ENDED} before it.
+ * Guards against starting a step of a cancelled job after an outage of the store. The cancellation was stored and
+ * acknowledged, but the store became unreachable before the owner's watch of the jobs reported it. After the outage
+ * the list of workers was confirmed first, and the owner used it to start the next step: the log showed {@code
+ * TASK_PLACED} for step 1 about 1 s after the store's return, without a preceding {@code JOB_ENDED}.
  */
 class UnseenCancellationTest {
 
-    /** So long after its answer a cancellation is in force. */
+    /** The time after its acknowledgement at which a cancellation is in force. */
     private static final long CANCEL_MILLIS = 3_000;
 
     private final NodeFixture f = new NodeFixture();
@@ -56,10 +56,10 @@
         f.advance(CANCEL_MILLIS);
         f.endRunOn("w2");
         f.advance(2_000);
-        assertEquals(2, f.workers.starts.size(), "its owner can not know that it goes on");
+        assertEquals(2, f.workers.starts.size(), "the owner cannot know whether the job was cancelled");
     }
 
-    /** The wait ends with the news. */
+    /** The owner waits only until the watch recovers. */
     @Test
     void doesNotBlockOtherJobsOnceTheWatchRecovers() {
         f.startServing("w1");
@@ -72,6 +72,6 @@
         f.advance(500);
         f.store.mutedPrefix = "";
         f.advance(500);
-        assertEquals(3, f.workers.starts.size(), "the second step runs");
+        assertEquals(3, f.workers.starts.size(), "the second step must run");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
@@ -28,7 +28,7 @@
 import org.lupinpaddle.core.placement.Room;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** Which workers are listed while records of another writer come and go among them. */
+/** Tests which workers are listed while unreadable records of another writer appear among them. */
 class WorkerFeedTest {
 
     private static final String BAD = "{\"service\":7}";
