--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/ConfigurationFeed.java
@@ -108,7 +108,7 @@
         CompletableFuture<Optional<JobConfiguration>> next = store.read(records.configurationKey())
                 .thenApplyAsync(
                         item -> {
-                            item.ifPresent(this::take);
+                            item.ifPresent(this::apply);
                             return current();
                         },
                         loop::execute);
@@ -118,15 +118,15 @@
 
     @Override
     public void onRead() {
-        watch.items().forEach(this::take);
+        watch.items().forEach(this::apply);
     }
 
     @Override
     public void onChanges(List<StoreChanges.Change> changes) {
-        watch.items().forEach(this::take);
+        watch.items().forEach(this::apply);
     }
 
-    private void take(StoreItem item) {
+    private void apply(StoreItem item) {
         if (!item.key().equals(records.configurationKey()) || item.revision() <= revision) {
             return;
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -85,7 +85,7 @@
 
     private void changed() {
         read = true;
-        Map<String, StoreItem> before = Map.copyOf(requests);
+        Map<String, StoreItem> previous = Map.copyOf(requests);
         requests.clear();
         unreadableWorkers.clear();
         unreadable.retainOnly(JobKeys.evacuations(service), watch.items());
@@ -93,7 +93,7 @@
         for (StoreItem i : watch.items()) {
             EvacuationRecord r = unreadable.recordOrNull(Kind.EVACUATION, i, read(i));
             if (r == null) {
-                keepLastReadable(i, before);
+                keepLastReadable(i, previous);
             } else {
                 requests.put(r.worker(), i);
                 if (r.urgent()) {
@@ -109,11 +109,11 @@
      * Keeps the last readable version of a request that has become unreadable, because the instance order that
      * depends on it may be about to be sent.
      */
-    private void keepLastReadable(StoreItem i, Map<String, StoreItem> before) {
+    private void keepLastReadable(StoreItem i, Map<String, StoreItem> previous) {
         String worker = JobKeys.evacuatedWorker(i.key());
-        StoreItem good = before.get(worker);
-        if (good != null) {
-            requests.put(worker, good);
+        StoreItem lastReadable = previous.get(worker);
+        if (lastReadable != null) {
+            requests.put(worker, lastReadable);
             unreadableWorkers.add(worker);
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
@@ -191,8 +191,8 @@
         if (mergedCount > 1) {
             unmergedWrites = mergedCount;
         } else {
-            Map<String, String> bad = queue.remove(0);
-            bad.forEach((key, value) -> Log.warn(
+            Map<String, String> rejected = queue.remove(0);
+            rejected.forEach((key, value) -> Log.warn(
                     "record-rejected", "key", key, "bytes", value.length(), "why", "the store rejected the record"));
         }
     }
@@ -213,8 +213,8 @@
         return mergedCount;
     }
 
-    /** Removes records that are no longer needed; {@code onGone} runs on the event loop once they are removed. */
-    void remove(List<String> keys, Runnable onGone) {
+    /** Removes records that are no longer needed; {@code onRemoved} runs on the event loop once they are removed. */
+    void remove(List<String> keys, Runnable onRemoved) {
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence);
         for (String key : keys) {
             revisions.remove(key);
@@ -225,7 +225,7 @@
                 .thenAcceptAsync(
                         r -> {
                             if (r.outcome() == CommitResult.Outcome.MADE) {
-                                onGone.run();
+                                onRemoved.run();
                             } else {
                                 Log.info("records-not-removed", "count", keys.size(), "outcome", r.outcome());
                             }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -70,7 +70,7 @@
     private static final long ORDER_DEADLINE_MILLIS = MAX_CONFIRMATION_AGE_MILLIS + InstanceOrders.CALL_MILLIS;
     // Interval at which the record of recent orders is rewritten with their current ages and without expired ones, so
     // that a successor holds back as few instances as possible, and none for longer than necessary.
-    private static final long PRUNE_EVERY_MILLIS = 500;
+    private static final long PRUNE_INTERVAL_MILLIS = 500;
     // Interval at which a hand-over checks whether the pending writes are durable; a write takes 10 ms.
     private static final long HAND_OVER_CHECK_MILLIS = 10;
     private static final long RETRY_MILLIS = 150;
@@ -170,7 +170,7 @@
         waves.start();
         listInstances();
         tick();
-        context.loop.after(PRUNE_EVERY_MILLIS, this::prune);
+        context.loop.after(PRUNE_INTERVAL_MILLIS, this::prune);
         context.loop.after(LOAD_LOG_MILLIS, this::logLoad);
     }
 
@@ -263,7 +263,7 @@
                     RecentOrders r = recordOrNull(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
                     earlierOrdersUnreadable = r == null;
                     if (r != null) {
-                        ordered.takeOver(r, wonAt);
+                        ordered.inherit(r, wonAt);
                     }
                 });
         if (earlierOrdersUnreadable) {
@@ -285,10 +285,10 @@
 
     /** Releases the instances that were ordered by processes which have ended. */
     private void dropOrdersOfEndedLives() {
-        int over = ordered.dropEnded(context.ownership::isOver);
+        int ended = ordered.dropEnded(context.ownership::hasEnded);
         Map<String, Long> until = ordered.blockedUntil();
-        if (over > 0) {
-            Log.info("earlier-orders-over", "instances", over, "left", until.size());
+        if (ended > 0) {
+            Log.info("earlier-orders-over", "instances", ended, "left", until.size());
         }
         planner.onEarlierOrders(until);
     }
@@ -304,20 +304,20 @@
                     evacuations.put(r, JobKeys.evacuatedService(i.key()));
                 }
             }
-            JobKeys.reportOf(i.key()).ifPresent(s -> takeReport(s, i));
-            JobKeys.upkeepOf(i.key()).ifPresent(w -> takeUpkeep(w, i));
+            JobKeys.reportOf(i.key()).ifPresent(s -> processReport(s, i));
+            JobKeys.upkeepOf(i.key()).ifPresent(w -> processUpkeep(w, i));
         }
         planner.onEvacuations(evacuations);
     }
 
-    private void takeReport(String service, StoreItem i) {
+    private void processReport(String service, StoreItem i) {
         ServiceReport r = recordOrNull(Kind.REPORT, i, i.read(ServiceReport.class));
         if (r != null) {
             planner.onReport(service, r);
         }
     }
 
-    private void takeUpkeep(long wave, StoreItem i) {
+    private void processUpkeep(long wave, StoreItem i) {
         UpkeepRecord r = recordOrNull(Kind.UPKEEP, i, i.read(UpkeepRecord.class));
         if (r != null) {
             planner.onUpkeep(wave, r);
@@ -425,7 +425,7 @@
         if ((ages || ordered.hasExpired(now)) && !writingOrders) {
             writeRecentOrders(outcome -> Log.debug("fleet-record-pruned", "outcome", outcome));
         }
-        context.loop.after(PRUNE_EVERY_MILLIS, this::prune);
+        context.loop.after(PRUNE_INTERVAL_MILLIS, this::prune);
     }
 
     /**
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
@@ -106,12 +106,12 @@
                     inputs.items().forEach(i -> byKey.put(i.key(), i));
                     progress.items().forEach(i -> byKey.put(i.key(), i));
                     List<StoredJob> all = new ArrayList<>();
-                    inputs.items().forEach(i -> known(i, byKey).ifPresent(all::add));
+                    inputs.items().forEach(i -> toStoredJob(i, byKey).ifPresent(all::add));
                     return all;
                 }));
     }
 
-    private static Optional<StoredJob> known(StoreItem i, Map<String, StoreItem> byKey) {
+    private static Optional<StoredJob> toStoredJob(StoreItem i, Map<String, StoreItem> byKey) {
         String service = JobKeys.serviceOfInput(i.key());
         JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
         if (key == null) {
@@ -173,9 +173,9 @@
         return lines.isEmpty() ? List.of("no entry is registered") : lines;
     }
 
-    private List<String> workers(StoreRange formatJobs) {
+    private List<String> workers(StoreRange listed) {
         List<String> lines = new ArrayList<>();
-        for (StoreItem i : formatJobs.items()) {
+        for (StoreItem i : listed.items()) {
             Either<Unreadable, WorkerFacts> w = records.worker(i);
             lines.add(w.fold(
                     why -> i.key() + "  unreadable: " + why,
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
@@ -150,7 +150,7 @@
     }
 
     /** A submission whose outcome is not yet known. */
-    private record PendingSubmission(CallerRequest request, String id, Submission job, long until) {}
+    private record PendingSubmission(CallerRequest request, String id, Submission job, long deadlineMillis) {}
 
     private CompletableFuture<SubmitOutcome> accept(
             PendingSubmission h, Admission a, int attempt, boolean mayBeWritten) {
@@ -196,7 +196,7 @@
         if (r.outcome() == CommitResult.Outcome.MADE) {
             return CompletableFuture.completedFuture(SubmitOutcome.ACCEPTED);
         }
-        boolean tooLong = loop.clock().millis() >= h.until;
+        boolean tooLong = loop.clock().millis() >= h.deadlineMillis;
         if (tooLong || attempt >= MAX_ATTEMPTS || (r.outcome() == CommitResult.Outcome.REFUSED && !unknown)) {
             Log.info("accept-undecided", "job", h.id, "outcome", r.outcome(), "attempt", attempt);
             return CompletableFuture.completedFuture(unknown ? SubmitOutcome.UNKNOWN : SubmitOutcome.NOT_TAKEN);
@@ -254,12 +254,12 @@
         return store.read(JobKeys.job(services.get(index), key))
                 .thenComposeAsync(
                         j -> j.isPresent()
-                                ? CompletableFuture.completedFuture(unbegun(a, j.get()))
+                                ? CompletableFuture.completedFuture(stateWithoutProgress(a, j.get()))
                                 : stateIn(a, services, index + 1, key),
                         loop::execute);
     }
 
-    private static JobAnswer unbegun(Admission a, StoreItem job) {
+    private static JobAnswer stateWithoutProgress(Admission a, StoreItem job) {
         if (job.value().equals(JobSpec.OVER)) {
             return JobAnswer.of(JobState.QUEUED);
         }
@@ -317,7 +317,7 @@
                 return CompletableFuture.completedFuture(JobAnswer.NO_JOB);
             }
         },
-        /** The job's workspace can not be determined because its records are unreadable or missing. */
+        /** The job's workspace cannot be determined because its records are unreadable or missing. */
         UNKNOWN(SubmitOutcome.UNKNOWN) {
             @Override
             CompletableFuture<JobAnswer> cancel(JobIntake intake, String service, JobKey key) {
@@ -421,14 +421,14 @@
 
     /** Counts the jobs without progress; these are the pending ones, since no job starts without an owner. */
     private CompletableFuture<OptionalInt> readCount(QueueConfig q) {
-        String jobs = JobKeys.job(q.service(), new JobKey(q.name(), ""));
-        String begun = JobKeys.progress(q.service(), new JobKey(q.name(), ""));
-        return store.range(jobs).thenCombine(store.range(begun), (j, p) -> {
+        String jobPrefix = JobKeys.job(q.service(), new JobKey(q.name(), ""));
+        String progressPrefix = JobKeys.progress(q.service(), new JobKey(q.name(), ""));
+        return store.range(jobPrefix).thenCombine(store.range(progressPrefix), (j, p) -> {
             Map<String, Boolean> known = new HashMap<>();
-            p.items().forEach(i -> known.put(i.key().substring(begun.length()), true));
+            p.items().forEach(i -> known.put(i.key().substring(progressPrefix.length()), true));
             long waiting = j.items().stream()
                     .filter(i -> !i.value().equals(JobSpec.OVER))
-                    .filter(i -> !known.containsKey(i.key().substring(jobs.length())))
+                    .filter(i -> !known.containsKey(i.key().substring(jobPrefix.length())))
                     .count();
             return OptionalInt.of((int) waiting);
         });
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMetrics.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobMetrics.java
@@ -83,7 +83,7 @@
     }
 
     /** Counts the outcome of a hold order. */
-    void held(OrderOutcome outcome) {
+    void holdAnswered(OrderOutcome outcome) {
         count("holds", outcome);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
@@ -62,7 +62,7 @@
     private final JobMetrics meters;
     private final UnreadableEntries unreadable;
     private final JobIntake intake;
-    private final JobCommandExecutor questions;
+    private final JobCommandExecutor commandExecutor;
     private final SchedulerHost.Context schedulerContext;
     private final FleetHost.Context fleetContext;
     private final Map<String, SchedulerHost> hosts = new HashMap<>();
@@ -107,7 +107,7 @@
         ownership = new OwnershipManager(p.store(), loop, p.name(), p.capacity(), this);
         addGauges();
         intake = new JobIntake(p.store(), loop, p.records(), configuration, p.wall(), this::reachesStore);
-        questions = new JobCommandExecutor(p.store(), p.records(), intake);
+        commandExecutor = new JobCommandExecutor(p.store(), p.records(), intake);
         SchedulerTiming timing = SchedulerTiming.usual(
                 p.limits().longestHoldMillis(), p.limits().stopMillis(), MAX_STORE_SILENCE_MILLIS);
         schedulerContext = new SchedulerHost.Context(
@@ -164,8 +164,8 @@
     }
 
     /** Returns the executor of operators' commands. */
-    public JobCommandExecutor questions() {
-        return questions;
+    public JobCommandExecutor commandExecutor() {
+        return commandExecutor;
     }
 
     /** Returns whether callers should use this entry. Thread-safe. */
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
@@ -43,7 +43,7 @@
     private final String entry;
     private final long capacity;
     /** Entries that are registered or were until recently. */
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, KnownEntry> known = new HashMap<>();
     /** The time since which each entry has been registered without interruption. */
     private final Map<String, Long> registeredSince = new HashMap<>();
 
@@ -51,7 +51,7 @@
     private final Map<String, Long> unreadable = new HashMap<>();
 
     /** The capacity of an entry, and when it was last seen registered. */
-    private record Known(long capacity, long seenAt) {}
+    private record KnownEntry(long capacity, long seenAt) {}
 
     /**
      * Creates the view.
@@ -75,7 +75,7 @@
      * Returns whether another life has certainly ended, judging from this process's own life: its entry is registered
      * under a different life.
      */
-    boolean isOver(String otherLife, String ownLife) {
+    boolean hasEnded(String otherLife, String ownLife) {
         String name = otherLife.substring(0, Math.max(0, otherLife.lastIndexOf(LIFE_SEPARATOR)));
         if (name.equals(entry)) {
             return !otherLife.equals(ownLife);
@@ -101,9 +101,9 @@
      * Returns the entries that may acquire a duty. Right after an outage of the store this includes the entries that
      * have not registered again yet.
      */
-    Set<String> candidates(boolean returning) {
+    Set<String> candidates(boolean rejoining) {
         Set<String> all = entries();
-        if (returning) {
+        if (rejoining) {
             all.addAll(known.keySet());
         }
         return all;
@@ -140,7 +140,7 @@
     void rememberRegistered() {
         long now = clock.millis();
         Map<String, Long> published = publishedCapacities();
-        entries().forEach(e -> known.put(e, new Known(published.getOrDefault(e, OwnerRank.USUAL_CAPACITY), now)));
+        entries().forEach(e -> known.put(e, new KnownEntry(published.getOrDefault(e, OwnerRank.USUAL_CAPACITY), now)));
         known.values().removeIf(k -> now - k.seenAt() > RETENTION_MILLIS);
     }
 
@@ -162,8 +162,8 @@
 
     /** Logs an unreadable capacity once per revision; capacities are read on every change of any entry. */
     private void logUnreadableCapacity(StoreItem i) {
-        Long published = unreadable.put(i.key(), i.revision());
-        if (!Long.valueOf(i.revision()).equals(published)) {
+        Long loggedRevision = unreadable.put(i.key(), i.revision());
+        if (!Long.valueOf(i.revision()).equals(loggedRevision)) {
             Log.warn("capacity-unreadable", "key", i.key(), "revision", i.revision());
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OrderedInstances.java
@@ -33,10 +33,10 @@
      * An instance ordered by this owner or an earlier one.
      *
      * @param life the life of the entry that ordered it
-     * @param at when the order was recorded, or taken over from an earlier owner
-     * @param freeAt when an owner with another life may order it
+     * @param recordedAt when the order was recorded, or taken over from an earlier owner
+     * @param orderableAt when an owner with another life may order it
      */
-    private record Ordered(String life, long at, long freeAt) {}
+    private record Ordered(String life, long recordedAt, long orderableAt) {}
 
     private final long takeOverMillis;
     private final long orderMillis;
@@ -59,7 +59,7 @@
      * remaining waits are at most as long now. The entries are included in this owner's own record in case it is
      * succeeded soon.
      */
-    void takeOver(RecentOrders r, long wonAt) {
+    void inherit(RecentOrders r, long wonAt) {
         r.lifeByInstance()
                 .forEach((i, life) ->
                         inherited.put(i, new Ordered(life, wonAt, wonAt + r.waitMillis(i, takeOverMillis))));
@@ -67,17 +67,17 @@
     }
 
     /** Removes the orders of ended lives and returns how many of them were inherited from earlier owners. */
-    int dropEnded(Predicate<String> isOver) {
+    int dropEnded(Predicate<String> hasEnded) {
         int before = inherited.size();
-        inherited.values().removeIf(o -> isOver.test(o.life));
-        all.values().removeIf(o -> isOver.test(o.life));
+        inherited.values().removeIf(o -> hasEnded.test(o.life));
+        all.values().removeIf(o -> hasEnded.test(o.life));
         return before - inherited.size();
     }
 
     /** Returns the instances that earlier owners have ordered, and until when they must not be ordered. */
     Map<String, Long> blockedUntil() {
         Map<String, Long> until = new HashMap<>();
-        inherited.forEach((i, o) -> until.put(i, o.freeAt));
+        inherited.forEach((i, o) -> until.put(i, o.orderableAt));
         return until;
     }
 
@@ -91,8 +91,9 @@
      * owners' orders starts now.
      */
     void onAnswered(String instance, long now) {
-        long freeAt = now + takeOverMillis - orderMillis;
-        all.computeIfPresent(instance, (i, o) -> new Ordered(o.life, o.at, Math.min(o.freeAt, freeAt)));
+        long orderableAt = now + takeOverMillis - orderMillis;
+        all.computeIfPresent(
+                instance, (i, o) -> new Ordered(o.life, o.recordedAt, Math.min(o.orderableAt, orderableAt)));
     }
 
     /** Removes all entries that do not match a predicate on the instance and the life that ordered it. */
@@ -110,7 +111,7 @@
      * recorded wait.
      */
     boolean hasWaiting(long now) {
-        return all.values().stream().anyMatch(o -> now < o.freeAt);
+        return all.values().stream().anyMatch(o -> now < o.orderableAt);
     }
 
     /** Removes expired orders and returns a record of the others with their remaining waits. */
@@ -120,12 +121,12 @@
         Map<String, Long> waits = new TreeMap<>();
         all.forEach((i, o) -> {
             lives.put(i, o.life);
-            waits.put(i, Math.max(0, o.freeAt - now));
+            waits.put(i, Math.max(0, o.orderableAt - now));
         });
         return new RecentOrders(lives, waits);
     }
 
     private boolean isExpired(Ordered o, long now) {
-        return now - o.at > takeOverMillis;
+        return now - o.recordedAt > takeOverMillis;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -86,7 +86,7 @@
     private final HandOverCoordinator handOvers;
     private final TreeMap<String, Long> owned = new TreeMap<>();
     private final Set<String> duties = new TreeSet<>();
-    private final Set<String> attempts = new HashSet<>();
+    private final Set<String> acquiring = new HashSet<>();
     /** Fences of duties that were handed over; the watch may show them for some time. */
     private final Set<Long> releasedFences = new HashSet<>();
     /** Fences under which this entry owned a duty before; its orders and writes may still be in flight. */
@@ -180,8 +180,8 @@
     }
 
     /** Returns whether a life has certainly ended: its entry is registered under a different one. */
-    boolean isOver(String otherLife) {
-        return members.isOver(otherLife, life);
+    boolean hasEnded(String otherLife) {
+        return members.hasEnded(otherLife, life);
     }
 
     /**
@@ -267,8 +267,8 @@
     }
 
     private void leaseOpened(long id, long sentAt) {
-        boolean retry = renewalSentAt >= 0;
-        reopenedAt = retry ? loop.clock().millis() : reopenedAt;
+        boolean reopened = renewalSentAt >= 0;
+        reopenedAt = reopened ? loop.clock().millis() : reopenedAt;
         lease = id;
         renewalSentAt = sentAt;
         Log.info("lease-opened", "lease", id, "ttl-millis", TTL_MILLIS);
@@ -367,8 +367,8 @@
 
     /** Registers again if the store has removed keys while their lease is alive. */
     private void restoreRegistration() {
-        boolean whole = members.hasOwnRecords(lease);
-        if (!whole && registered && lease != 0 && !stopping) {
+        boolean complete = members.hasOwnRecords(lease);
+        if (!complete && registered && lease != 0 && !stopping) {
             registered = false;
             register();
         }
@@ -384,7 +384,7 @@
         }
         boolean mine =
                 i.value().equals(entry) && i.lease() == lease && lease != 0 && !releasedFences.contains(i.revision());
-        if (mine && !owned.containsKey(duty) && !attempts.contains(duty)) {
+        if (mine && !owned.containsKey(duty) && !acquiring.contains(duty)) {
             if (endedFences.contains(i.revision())) {
                 reacquire(duty, i.revision());
             } else {
@@ -398,7 +398,7 @@
      * earlier fence, however late they arrive.
      */
     private void reacquire(String duty, long fence) {
-        attempts.add(duty);
+        acquiring.add(duty);
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder()
                         .when(key, fence)
@@ -422,10 +422,10 @@
         long now = loop.clock().millis();
         free.forEach(d -> freeSince.putIfAbsent(d, now));
         OwnerRank order = members.order(owners);
-        int steps = owned.size() + attempts.size();
+        int steps = owned.size() + acquiring.size();
         // Each entry starts with a different duty, so entries that start together try for all duties at once.
         for (String duty : RendezvousHash.rank(entry, free)) {
-            if (attempts.add(duty)) {
+            if (acquiring.add(duty)) {
                 long delay = delayMillis(order, duty, steps);
                 loop.after(delay, () -> acquire(duty));
                 steps++;
@@ -509,7 +509,7 @@
         Map<String, StoreItem> owners = members.owners();
         boolean free = !owners.containsKey(duty) && !owned.containsKey(duty);
         if (!free || stopping || lease == 0 || !duties.contains(duty)) {
-            attempts.remove(duty);
+            acquiring.remove(duty);
             return;
         }
         // The duty may have been owned and become free again since this attempt was scheduled, so the delay starts
@@ -526,7 +526,7 @@
     }
 
     private void onAcquireResult(String duty, CommitResult r) {
-        attempts.remove(duty);
+        acquiring.remove(duty);
         if (r.outcome() == CommitResult.Outcome.MADE && !stopping) {
             won(duty, r.revision());
         } else if (r.outcome() != CommitResult.Outcome.CONFLICT) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
@@ -46,7 +46,7 @@
     private static final long RETRY_MILLIS = 150;
     private static final long WATCH_BATCH_MILLIS = 40;
     // A commit has at most 32 rows: ownership, configuration, and a condition and a value for each allocation.
-    private static final int MOST_PER_COMMIT = 15;
+    private static final int MAX_PER_COMMIT = 15;
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -149,7 +149,7 @@
         }
         Map<String, QuotaAllocation> due = new LinkedHashMap<>();
         table.forEachLimited((name, q) -> {
-            if (due.size() < MOST_PER_COMMIT) {
+            if (due.size() < MAX_PER_COMMIT) {
                 q.next(loop.clock().millis()).ifPresent(a -> due.put(name, a));
             }
         });
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -207,7 +207,7 @@
             begin();
         }
         context.unreadable.retainOnly(JobKeys.inputs(service), inputs.items());
-        takeAll(List.copyOf(inputs.items()));
+        processAll(List.copyOf(inputs.items()));
     }
 
     private void begin() {
@@ -254,20 +254,20 @@
             return;
         }
         changes.stream().filter(c -> c.item() == null).forEach(c -> context.unreadable.onRemoved(c.key()));
-        takeAll(changes.stream()
+        processAll(changes.stream()
                 .map(StoreChanges.Change::item)
                 .filter(Objects::nonNull)
                 .toList());
     }
 
     /** Processes jobs before cancellations, because the scheduler ignores the cancellation of an unknown job. */
-    private void takeAll(List<StoreItem> items) {
-        items.forEach(this::takeJob);
-        items.forEach(this::takeCancellation);
+    private void processAll(List<StoreItem> items) {
+        items.forEach(this::processJob);
+        items.forEach(this::processCancellation);
         requestTick();
     }
 
-    private void takeJob(StoreItem i) {
+    private void processJob(StoreItem i) {
         ServiceScheduler s = scheduler;
         if (s == null) {
             return;
@@ -291,7 +291,7 @@
                         : Either.left(Unreadable.Reason.NOT_OF_ITS_KEY.in("key")));
     }
 
-    private void takeCancellation(StoreItem i) {
+    private void processCancellation(StoreItem i) {
         if (scheduler != null) {
             JobKeys.cancelled(service, i.key()).ifPresent(scheduler::onCancel);
         }
@@ -406,7 +406,7 @@
                 .exceptionally(why -> unreadable(order, why))
                 .thenAcceptAsync(
                         r -> notifyScheduler(s -> {
-                            context.meters.held(r.outcome());
+                            context.meters.holdAnswered(r.outcome());
                             if (r.answer() == null) {
                                 s.onHoldFailed(order, r.outcome());
                             } else {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
@@ -69,7 +69,7 @@
     public void onRead() {
         byKey.clear();
         unreadable.retainOnly(records.workerPrefix(), watch.items());
-        new ArrayList<>(watch.items()).forEach(this::take);
+        new ArrayList<>(watch.items()).forEach(this::update);
         onChange.run();
     }
 
@@ -80,7 +80,7 @@
                 byKey.remove(c.key());
                 unreadable.onRemoved(c.key());
             } else {
-                take(c.item());
+                update(c.item());
             }
         }
         onChange.run();
@@ -90,7 +90,7 @@
      * Removes a worker with an unreadable record from the list, so nothing new is started on it. Its running tasks
      * are kept: the owner continues to use the known address.
      */
-    private void take(StoreItem item) {
+    private void update(StoreItem item) {
         WorkerFacts w = unreadable.recordOrNull(Kind.WORKER, item, records.worker(item));
         if (w == null) {
             byKey.remove(item.key());
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
@@ -61,7 +61,7 @@
             meters.submitted(SubmitOutcome.ACCEPTED);
             meters.decided(event(SchedulerEvent.Kind.START_ANSWERED, "NO_ROOM", 0));
             meters.decided(event(SchedulerEvent.Kind.JOB_BEGUN, "", 120));
-            meters.held(OrderOutcome.UNKNOWN);
+            meters.holdAnswered(OrderOutcome.UNKNOWN);
             meters.storeCalled("commit", "CONFLICT", 7);
             meters.gauge("ready", () -> 1);
             String text = get("/metrics").body();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -42,7 +42,7 @@
     private boolean isEnded() {
         watch.start();
         loop.advance(1);
-        return members.isOver(life, MemberRegistry.newLife("self"));
+        return members.hasEnded(life, MemberRegistry.newLife("self"));
     }
 
     @Nested
