--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -31,35 +31,38 @@
 import org.lupinpaddle.daemon.port.KeyValueStore;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** Which workers of a service the owner of the fleet asks to be emptied, and the answers to that. */
+/** Follows the requests of the fleet's owner to evacuate workers of a service, and answers them. */
 final class EvacuationFeed implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 150;
 
     private final EventLoop loop;
     private final String service;
-    private final OwnedRecords records;
+    private final FencedRecordWriter records;
     private final UnreadableEntries unreadable;
     private final PrefixWatch watch;
     private final BiConsumer<Set<String>, Set<String>> onChange;
-    private final Map<String, StoreItem> asked = new HashMap<>();
+    private final Map<String, StoreItem> requests = new HashMap<>();
     private boolean read;
-    /** Workers whose request was readable once and is not now; such a one is not answered. */
-    private final Set<String> unread = new HashSet<>();
-    /** The revision of the request that was answered last, by worker: asked anew, it is answered anew. */
+    /** Workers whose request was readable before but is not now; these requests are not answered. */
+    private final Set<String> unreadableWorkers = new HashSet<>();
+    /**
+     * The revision of the last answered request by worker. A repeated request has a newer revision and is answered
+     * again.
+     */
     private final Map<String, Long> answered = new HashMap<>();
 
     /**
-     * Makes the feed.
+     * Creates the feed.
      *
      * @param records writes the answers
-     * @param onChange is told the workers that are to be empty, and those of them that other work waits for
+     * @param onChange receives the workers to evacuate and, of these, the ones whose evacuation is urgent
      */
     EvacuationFeed(
             KeyValueStore store,
             EventLoop loop,
             String service,
-            OwnedRecords records,
+            FencedRecordWriter records,
             UnreadableEntries unreadable,
             BiConsumer<Set<String>, Set<String>> onChange) {
         this.loop = loop;
@@ -67,58 +70,62 @@
         this.records = records;
         this.unreadable = unreadable;
         this.onChange = onChange;
-        watch = new PrefixWatch(store, loop, JobKeys.evacuations(service), PrefixWatch.Listener.same(this::changed));
+        watch = new PrefixWatch(
+                store, loop, JobKeys.evacuations(service), PrefixWatch.Listener.forAnyChange(this::changed));
     }
 
     void start() {
         watch.start();
     }
 
-    /** Returns whether it is known which workers are to be emptied. */
+    /** Returns whether the evacuation requests have been read. */
     boolean isRead() {
         return read;
     }
 
     private void changed() {
         read = true;
-        Map<String, StoreItem> before = Map.copyOf(asked);
-        asked.clear();
-        unread.clear();
-        unreadable.onlyThese(JobKeys.evacuations(service), watch.items());
+        Map<String, StoreItem> previous = Map.copyOf(requests);
+        requests.clear();
+        unreadableWorkers.clear();
+        unreadable.retainOnly(JobKeys.evacuations(service), watch.items());
         Set<String> urgent = new HashSet<>();
         for (StoreItem i : watch.items()) {
-            EvacuationRecord r = unreadable.taken(Kind.EVACUATION, i, read(i));
+            EvacuationRecord r = unreadable.recordOrNull(Kind.EVACUATION, i, read(i));
             if (r == null) {
-                keep(i, before);
+                keepLastReadable(i, previous);
             } else {
-                asked.put(r.worker(), i);
+                requests.put(r.worker(), i);
                 if (r.urgent()) {
                     urgent.add(r.worker());
                 }
             }
         }
-        answered.keySet().retainAll(asked.keySet());
-        onChange.accept(asked.keySet(), urgent);
+        answered.keySet().retainAll(requests.keySet());
+        onChange.accept(requests.keySet(), urgent);
     }
 
-    /** A request that was good is not taken back by what nobody can read: its errand may be about to be ordered. */
-    private void keep(StoreItem i, Map<String, StoreItem> before) {
+    /**
+     * Keeps the last readable version of a request that has become unreadable, because the instance order that
+     * depends on it may be about to be sent.
+     */
+    private void keepLastReadable(StoreItem i, Map<String, StoreItem> previous) {
         String worker = JobKeys.evacuatedWorker(i.key());
-        StoreItem good = before.get(worker);
-        if (good != null) {
-            asked.put(worker, good);
-            unread.add(worker);
+        StoreItem lastReadable = previous.get(worker);
+        if (lastReadable != null) {
+            requests.put(worker, lastReadable);
+            unreadableWorkers.add(worker);
         }
     }
 
     /**
-     * Answers that a worker carries nothing. A request that is written again, because its writer got no answer, has
-     * lost what was answered before; so each one that does not show the answer gets it.
+     * Reports that a worker runs no tasks. If the requester got no answer to its write it writes the request again,
+     * which overwrites the earlier report; therefore every request that does not show the report is answered.
      */
     void answerEmpty(String worker) {
-        StoreItem item = asked.get(worker);
+        StoreItem item = requests.get(worker);
         if (item == null
-                || unread.contains(worker)
+                || unreadableWorkers.contains(worker)
                 || Long.valueOf(item.revision()).equals(answered.get(worker))) {
             return;
         }
@@ -131,15 +138,15 @@
     }
 
     private void write(String worker, StoreItem item, String answer) {
-        records.known(item.key(), item.revision());
+        records.expectRevision(item.key(), item.revision());
         records.write(Map.of(item.key(), answer), outcome -> {
-            if (outcome == OwnedRecords.Outcome.RETRY || outcome == OwnedRecords.Outcome.OVERTAKEN) {
+            if (outcome == FencedRecordWriter.Outcome.RETRY || outcome == FencedRecordWriter.Outcome.OVERTAKEN) {
                 loop.after(RETRY_MILLIS, () -> answered.remove(worker, item.revision()));
             }
         });
     }
 
-    /** Returns the request that an item holds, or what is wrong with it. */
+    /** Parses an evacuation request, or returns why it is unreadable. */
     static Either<Unreadable, EvacuationRecord> read(StoreItem i) {
         return i.text().flatMap(t -> EvacuationRecord.read(t, JobKeys.evacuatedWorker(i.key())));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/HandOverReason.java
@@ -15,21 +15,21 @@
  */
 package org.lupinpaddle.daemon.jobs;
 
-/** Why an owner hands a duty over; it decides what the next owner has to reckon with. */
-enum HandOver {
-    /** Another entry had better do it. This one lives on, and what it has ordered may still be under way. */
+/** The reason for a hand-over, which determines what the next owner has to expect. */
+enum HandOverReason {
+    /** Another entry is better suited. This entry lives on, and its orders may still be in flight. */
     TO_ANOTHER_ENTRY(false),
-    /** The entry ends as planned: nothing of it is heard any more once its answers are in. */
-    OF_AN_ENTRY_THAT_ENDS(true);
+    /** The entry shuts down as planned; nothing of it is in flight once its orders are answered. */
+    ENTRY_SHUTDOWN(true);
 
-    private final boolean ends;
+    private final boolean shutdown;
 
-    HandOver(boolean ends) {
-        this.ends = ends;
+    HandOverReason(boolean shutdown) {
+        this.shutdown = shutdown;
     }
 
     /** Returns whether the entry's process ends. */
-    boolean endsTheEntry() {
-        return ends;
+    boolean isShutdown() {
+        return shutdown;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipKeeper.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -38,41 +38,42 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * Keeps this entry's lease, and takes duties that nobody owns. A duty is owned by whoever holds its key under
- * a live lease; the revision of the write that took it is the owner's fence.
+ * Maintains this entry's lease and acquires duties without an owner. A duty is owned by the entry that holds its key
+ * under a live lease; the revision of the acquiring write is the owner's fence (fencing token).
  */
-final class OwnershipKeeper implements PrefixWatch.Listener, AutoCloseable {
+final class OwnershipManager implements PrefixWatch.Listener, AutoCloseable {
 
-    // An entry that dies is followed after this and a renewal's time; the store gives no lease under 1 s.
-    /** How long a lease lasts after its newest renewal, in milliseconds. */
+    // A dead entry is succeeded after this time and the time of a renewal; the store grants no lease under 1 s.
+    /** The time to live of a lease after its latest renewal, in milliseconds. */
     static final long TTL_MILLIS = 1_500;
 
     private static final long RENEW_MILLIS = 450;
-    // A renewal that has no answer by then is followed by another beside it. Four go out before a lease ends, so that a
-    // store that loses half of its answers ends it one time in sixteen, not in four. A slow store takes 250 ms.
-    private static final long RENEW_AGAIN_MILLIS = 250;
+    // If a renewal is unanswered after this time, another one is sent in parallel. Four renewals are sent before a
+    // lease expires, so that a store which loses half of its answers ends the lease one time in sixteen rather than
+    // one in four. A slow store takes 250 ms to answer.
+    private static final long RENEW_RETRY_MILLIS = 250;
     private static final long RETRY_MILLIS = 200;
-    // An entry takes a duty this much later for each one that comes before it: a write takes 10 ms.
+    // Delay for each entry that ranks higher for a duty; a write takes 10 ms.
     private static final long STAGGER_MILLIS = 100;
-    // But not later than after so many: of the entries before it, any number may have died at the same moment.
-    private static final int MOST_PLACES = 5;
-    // And this much later for each one that it has already, up to some: after a loss of power all entries start within
-    // 0.3 s, and what the first of them leaves for a moment goes to the others.
-    private static final long NEXT_DUTY_MILLIS = 200;
-    private static final int MOST_STEPS = 4;
-
-    // A hand-over leaves a service without an owner for about 100 ms: not too often, and not to an entry that has
-    // just started.
-    private static final long SHARE_EVERY_MILLIS = 2_000;
-    private static final long SETTLED_MILLIS = 2_000;
-    // Nor before it has been of use: its owner has read all that it needs, and asked every worker.
-    private static final long HELD_MILLIS = 5_000;
-    // When the store comes back after all leases have ended, entries come back within this.
-    private static final long RETURN_MILLIS = 1_000;
-    // An entry that could not begin with a duty leaves it to the others for so long, and tries again if they can't
-    // either.
-    private static final long LEAVE_TO_OTHERS_MILLIS = 10_000;
-    private static final long LEAST_CAPACITY = 1;
+    // Limits the rank in the delay, because any number of the higher-ranked entries may have died at the same moment.
+    private static final int MAX_RANK = 5;
+    // Additional delay for each duty already owned, up to a limit: after a power loss all entries start within 0.3 s,
+    // and the delay leaves duties to the ones that start later.
+    private static final long DUTY_DELAY_MILLIS = 200;
+    private static final int MAX_DUTY_STEPS = 4;
+
+    // A hand-over leaves a service without an owner for about 100 ms, so hand-overs are limited in rate and never go
+    // to an entry that has just started.
+    private static final long REBALANCE_INTERVAL_MILLIS = 2_000;
+    private static final long MIN_REGISTERED_MILLIS = 2_000;
+    // A duty is not handed over before the owner has read all of its state and contacted every worker.
+    private static final long MIN_HOLD_MILLIS = 5_000;
+    // When the store recovers after all leases have expired, entries register again within this time.
+    private static final long REJOIN_MILLIS = 1_000;
+    // How long an entry leaves a duty that it could not start to others before it tries again, in case they cannot
+    // start it either.
+    private static final long DEFER_MILLIS = 10_000;
+    private static final long MIN_CAPACITY = 1;
 
     private final KeyValueStore store;
     private final EventLoop loop;
@@ -81,60 +82,61 @@
     private final long capacity;
     private final Listener listener;
     private final PrefixWatch watch;
-    private final Members members;
-    private final HandOvers handOvers;
+    private final MemberRegistry members;
+    private final HandOverCoordinator handOvers;
     private final TreeMap<String, Long> owned = new TreeMap<>();
     private final Set<String> duties = new TreeSet<>();
-    private final Set<String> attempts = new HashSet<>();
-    /** Fences of duties that were handed over; the watch may show them for a moment longer. */
-    private final Set<Long> released = new HashSet<>();
-    /** Fences under which this entry has owned a duty and does not any more: what it sent may still be under way. */
-    private final Set<Long> spent = new HashSet<>();
-    /** Duties that this entry could not begin with, and until when it leaves them to others. */
-    private final Map<String, Long> leftUntil = new HashMap<>();
-
-    /** Since when a duty is known to be free. */
+    private final Set<String> acquiring = new HashSet<>();
+    /** Fences of duties that were handed over; the watch may show them for some time. */
+    private final Set<Long> releasedFences = new HashSet<>();
+    /** Fences under which this entry owned a duty before; its orders and writes may still be in flight. */
+    private final Set<Long> endedFences = new HashSet<>();
+    /** Duties that this entry could not start, and until when it leaves them to others. */
+    private final Map<String, Long> deferredUntil = new HashMap<>();
+
+    /** The time since which each duty is known to be without an owner. */
     private final Map<String, Long> freeSince = new HashMap<>();
-    /** When a duty was won that this entry owns. */
+    /** The time at which each owned duty was won. */
     private final Map<String, Long> wonAt = new HashMap<>();
 
     private long lease;
-    /** The number of the newest renewal; one more once that is answered. */
+    /** The number of the latest renewal; incremented once that renewal is answered. */
     private long renewal;
 
     private long reopenedAt = Long.MIN_VALUE / 2;
-    private long keptAt = Long.MIN_VALUE / 2;
-    private long sharedAt = Long.MIN_VALUE / 2;
+    private long renewalSentAt = Long.MIN_VALUE / 2;
+    private long rebalancedAt = Long.MIN_VALUE / 2;
     private boolean registered;
     private boolean stopping;
 
-    /** What is told of duties. */
+    /** Receives changes of ownership. */
     interface Listener {
-        /** This entry owns the duty from now on. */
+        /** Called when this entry has acquired a duty. */
         void won(String duty, long fence);
 
         /**
-         * This entry is about to hand a duty over: it is to begin nothing new, and to make durable what it alone knows,
-         * while its key still allows that. The duty goes when the future ends, or is lost before.
+         * Called before a duty is handed over. The owner must start nothing new and make the state that only it knows
+         * durable while its key still permits writes. The duty is released when the future completes, unless it is
+         * lost before.
          */
-        default CompletableFuture<Void> handOver(String duty, HandOver why) {
+        default CompletableFuture<Void> handOver(String duty, HandOverReason why) {
             return CompletableFuture.completedFuture(null);
         }
 
-        /** This entry does not own the duty any more. */
+        /** Called when this entry no longer owns a duty. */
         void lost(String duty, String why);
     }
 
-    OwnershipKeeper(KeyValueStore store, EventLoop loop, String entry, long capacity, Listener listener) {
+    OwnershipManager(KeyValueStore store, EventLoop loop, String entry, long capacity, Listener listener) {
         this.store = store;
         this.loop = loop;
         this.entry = entry;
         this.capacity = capacity;
-        this.life = Members.newLife(entry);
+        this.life = MemberRegistry.newLife(entry);
         this.listener = listener;
         watch = new PrefixWatch(store, loop, JobKeys.MEMBERS, this);
-        members = new Members(watch, loop.clock(), entry, capacity);
-        handOvers = new HandOvers(loop, listener);
+        members = new MemberRegistry(watch, loop.clock(), entry, capacity);
+        handOvers = new HandOverCoordinator(loop, listener);
     }
 
     void start() {
@@ -142,104 +144,111 @@
         watch.start();
     }
 
-    /** Sets the duties that are to have an owner. */
+    /** Sets the duties that must have an owner. */
     void setDuties(Set<String> wanted) {
         duties.clear();
         duties.addAll(wanted);
-        seekDuties();
+        acquireFreeDuties();
     }
 
-    /** Returns since when this entry's ownership may have ended: when the newest renewal was sent. */
+    /**
+     * Returns the time since which this entry's ownership may have ended: the time at which the latest answered
+     * renewal was sent.
+     */
     long confirmedAt() {
-        return keptAt;
+        return renewalSentAt;
     }
 
-    /** Returns whether the store has answered within a lease's time. */
+    /** Returns whether the store has answered within the time to live of a lease. */
     boolean reachesStore() {
-        return loop.clock().millis() - keptAt <= TTL_MILLIS;
+        return loop.clock().millis() - renewalSentAt <= TTL_MILLIS;
     }
 
-    /** Returns until when the lease lives for certain, by this entry's clock. */
+    /** Returns the time until which the lease is certainly alive, by this entry's clock. */
     long leaseEndsAt() {
-        return keptAt + TTL_MILLIS;
+        return renewalSentAt + TTL_MILLIS;
     }
 
-    /** Returns the duties that this entry owns, with their fences. */
+    /** Returns the duties owned by this entry with their fences. */
     Map<String, Long> owned() {
         return Map.copyOf(owned);
     }
 
-    /** Returns what names this entry's process, from its start to its end. */
+    /** Returns the unique name of this run of the entry's process. */
     String life() {
         return life;
     }
 
-    /** Returns whether a life is over for certain: its entry is registered with another one. */
-    boolean isOver(String otherLife) {
-        return members.isOver(otherLife, life);
+    /** Returns whether a life has certainly ended: its entry is registered under a different one. */
+    boolean hasEnded(String otherLife) {
+        return members.hasEnded(otherLife, life);
     }
 
     /**
-     * Gives a duty up that was won with this fence, because it is owned elsewhere or can not be fulfilled here. A
-     * duty that has been won anew since is kept. If the key turns out to be still this entry's, it is taken up
-     * again under a new fence: nobody else could.
+     * Gives up a duty that was won with this fence, because another entry owns it or it cannot be fulfilled here. If
+     * the duty has been won again since, it is kept. If the key still belongs to this entry, the duty is acquired
+     * again under a new fence, because no other entry could take it.
      */
     void giveUp(String duty, long fence, String why) {
         if (owned.remove(duty, fence)) {
-            spent.add(fence);
+            endedFences.add(fence);
             listener.lost(duty, why);
-            loop.after(RETRY_MILLIS, this::review);
+            loop.after(RETRY_MILLIS, this::reconcile);
         }
     }
 
     /**
-     * Hands a duty over that was won with this fence and with which this entry can not begin; for a time it does not try
-     * for it again. Without another entry, or while the store is away, it is kept: nobody could do better.
+     * Hands over a duty that was won with this fence but cannot be started here, and does not try to acquire it for
+     * some time. The duty is kept if there is no other entry or the store is unreachable, because nobody could do
+     * better.
      */
-    void leaveToOthers(String duty, long fence, String why) {
+    void deferToOthers(String duty, long fence, String why) {
         boolean mine = Long.valueOf(fence).equals(owned.get(duty));
         if (!mine || !reachesStore() || members.entries().size() == 1) {
             return;
         }
-        leftUntil.put(duty, loop.clock().millis() + LEAVE_TO_OTHERS_MILLIS);
-        loop.after(LEAVE_TO_OTHERS_MILLIS, this::tryAgain);
+        deferredUntil.put(duty, loop.clock().millis() + DEFER_MILLIS);
+        loop.after(DEFER_MILLIS, this::onDeferralEnded);
         release(duty, why);
-        tellCapacity();
+        publishCapacity();
     }
 
-    private void tryAgain() {
-        tellCapacity();
-        seekDuties();
+    private void onDeferralEnded() {
+        publishCapacity();
+        acquireFreeDuties();
     }
 
-    private boolean leavesAny() {
-        return leftUntil.keySet().stream().anyMatch(this::leavesToOthers);
+    private boolean defersAny() {
+        return deferredUntil.keySet().stream().anyMatch(this::isDeferred);
     }
 
-    /** Returns what the others are told: next to nothing while a duty is left to them, so that none is given to it. */
-    private long toldCapacity() {
-        return leavesAny() ? LEAST_CAPACITY : capacity;
+    /**
+     * Returns the capacity to publish, which is minimal while this entry leaves a duty to others, so that no duty is
+     * handed over to it.
+     */
+    private long publishedCapacity() {
+        return defersAny() ? MIN_CAPACITY : capacity;
     }
 
-    private void tellCapacity() {
+    private void publishCapacity() {
         if (lease == 0 || stopping) {
             return;
         }
         store.commit(StoreCommit.builder()
-                        .put(JobKeys.capacity(entry), Long.toString(toldCapacity()), lease)
+                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), lease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
                             if (r.outcome() != CommitResult.Outcome.MADE) {
                                 Log.info("capacity-untold", "outcome", r.outcome());
-                                loop.after(RETRY_MILLIS, this::tellCapacity);
+                                loop.after(RETRY_MILLIS, this::publishCapacity);
                             }
                         },
                         loop::execute);
     }
 
-    private boolean leavesToOthers(String duty) {
-        return leftUntil.getOrDefault(duty, Long.MIN_VALUE) > loop.clock().millis();
+    private boolean isDeferred(String duty) {
+        return deferredUntil.getOrDefault(duty, Long.MIN_VALUE) > loop.clock().millis();
     }
 
     private void openLease() {
@@ -258,28 +267,28 @@
     }
 
     private void leaseOpened(long id, long sentAt) {
-        boolean again = keptAt >= 0;
-        reopenedAt = again ? loop.clock().millis() : reopenedAt;
+        boolean reopened = renewalSentAt >= 0;
+        reopenedAt = reopened ? loop.clock().millis() : reopenedAt;
         lease = id;
-        keptAt = sentAt;
+        renewalSentAt = sentAt;
         Log.info("lease-opened", "lease", id, "ttl-millis", TTL_MILLIS);
         register();
         loop.after(RENEW_MILLIS, this::renew);
-        seekDuties();
+        acquireFreeDuties();
     }
 
     private void register() {
         long forLease = lease;
         store.commit(StoreCommit.builder()
                         .put(JobKeys.entry(entry), life, forLease)
-                        .put(JobKeys.capacity(entry), Long.toString(toldCapacity()), forLease)
+                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), forLease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
-                            boolean again = r.outcome() == CommitResult.Outcome.REFUSED
+                            boolean retry = r.outcome() == CommitResult.Outcome.REFUSED
                                     || r.outcome() == CommitResult.Outcome.UNKNOWN;
                             registered = r.outcome() == CommitResult.Outcome.MADE && forLease == lease;
-                            if (again && forLease == lease) {
+                            if (retry && forLease == lease) {
                                 loop.after(RETRY_MILLIS, this::register);
                             }
                         },
@@ -293,7 +302,7 @@
         long forLease = lease;
         long sentAt = loop.clock().millis();
         long number = ++renewal;
-        loop.after(RENEW_AGAIN_MILLIS, () -> renewUnless(number));
+        loop.after(RENEW_RETRY_MILLIS, () -> renewUnless(number));
         store.keepLease(forLease)
                 .whenComplete((alive, why) -> loop.execute(() -> {
                     if (why == null && forLease == lease) {
@@ -302,7 +311,7 @@
                 }));
     }
 
-    /** Renews again unless the newest renewal, with this number, has been answered. */
+    /** Renews the lease unless the latest renewal, which has this number, has been answered. */
     private void renewUnless(long number) {
         if (number == renewal) {
             renew();
@@ -314,8 +323,8 @@
             leaseEnded();
             return;
         }
-        keptAt = Math.max(keptAt, sentAt);
-        shareOut();
+        renewalSentAt = Math.max(renewalSentAt, sentAt);
+        rebalance();
         if (number == renewal) {
             renewal++;
             long next = renewal;
@@ -326,54 +335,58 @@
     private void leaseEnded() {
         Log.warn("lease-ended", "lease", lease, "owned", owned.size());
         lease = 0;
-        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "the store has ended the lease"));
+        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "the lease has expired"));
         openLease();
     }
 
     @Override
     public void onRead() {
-        review();
+        reconcile();
     }
 
     @Override
     public void onChanges(List<StoreChanges.Change> changes) {
-        review();
+        reconcile();
     }
 
-    private void review() {
+    private void reconcile() {
         Map<String, StoreItem> owners = members.owners();
         freeSince.keySet().removeAll(owners.keySet());
-        members.remember();
+        members.rememberRegistered();
         for (Map.Entry<String, Long> o : new ArrayList<>(owned.entrySet())) {
             StoreItem i = owners.get(o.getKey());
             boolean seen = watch.revision() >= o.getValue();
             if (seen && (i == null || i.revision() != o.getValue())) {
-                giveUp(o.getKey(), o.getValue(), i == null ? "its key is gone" : "owned by " + i.value());
+                giveUp(o.getKey(), o.getValue(), i == null ? "the ownership key was removed" : "owned by " + i.value());
             }
         }
         owners.forEach(this::adopt);
-        registerAgain();
-        seekDuties();
+        restoreRegistration();
+        acquireFreeDuties();
     }
 
-    /** The store may take keys away while their lease lives on. */
-    private void registerAgain() {
-        boolean whole = members.holdsAllOf(lease);
-        if (!whole && registered && lease != 0 && !stopping) {
+    /** Registers again if the store has removed keys while their lease is alive. */
+    private void restoreRegistration() {
+        boolean complete = members.hasOwnRecords(lease);
+        if (!complete && registered && lease != 0 && !stopping) {
             registered = false;
             register();
         }
     }
 
-    /** Takes up a duty whose taking got no answer, but was made; and one that it gave up, whose key it still holds. */
+    /**
+     * Adopts a duty whose acquisition succeeded without an answer, or one that was given up while the store still
+     * shows this entry as the owner.
+     */
     private void adopt(String duty, StoreItem i) {
         if (stopping) {
             return;
         }
-        boolean mine = i.value().equals(entry) && i.lease() == lease && lease != 0 && !released.contains(i.revision());
-        if (mine && !owned.containsKey(duty) && !attempts.contains(duty)) {
-            if (spent.contains(i.revision())) {
-                takeAnew(duty, i.revision());
+        boolean mine =
+                i.value().equals(entry) && i.lease() == lease && lease != 0 && !releasedFences.contains(i.revision());
+        if (mine && !owned.containsKey(duty) && !acquiring.contains(duty)) {
+            if (endedFences.contains(i.revision())) {
+                reacquire(duty, i.revision());
             } else {
                 won(duty, i.revision());
             }
@@ -381,74 +394,77 @@
     }
 
     /**
-     * Writes the key once more, so that its revision rises: orders and writes of the time before carry a fence that
-     * workers and the store refuse from then on, however late they arrive.
+     * Writes the key again to raise its revision. Workers and the store then reject orders and writes with the
+     * earlier fence, however late they arrive.
      */
-    private void takeAnew(String duty, long fence) {
-        attempts.add(duty);
+    private void reacquire(String duty, long fence) {
+        acquiring.add(duty);
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder()
                         .when(key, fence)
                         .put(key, entry, lease)
                         .build())
-                .thenAcceptAsync(r -> taken(duty, r), loop::execute);
+                .thenAcceptAsync(r -> onAcquireResult(duty, r), loop::execute);
     }
 
-    private void seekDuties() {
+    private void acquireFreeDuties() {
         if (stopping || lease == 0) {
             return;
         }
         Map<String, StoreItem> owners = members.owners();
         List<String> free = duties.stream()
-                .filter(d -> !owners.containsKey(d) && !owned.containsKey(d) && !leavesToOthers(d))
+                .filter(d -> !owners.containsKey(d) && !owned.containsKey(d) && !isDeferred(d))
                 .toList();
-        // As a rule there is none: this is asked at every change of any entry.
+        // Usually no duty is free; this runs on every change of any entry.
         if (free.isEmpty()) {
             return;
         }
         long now = loop.clock().millis();
         free.forEach(d -> freeSince.putIfAbsent(d, now));
         OwnerRank order = members.order(owners);
-        int steps = owned.size() + attempts.size();
-        // Each entry begins with another one: where all start at once, all duties are tried for at once.
+        int steps = owned.size() + acquiring.size();
+        // Each entry starts with a different duty, so entries that start together try for all duties at once.
         for (String duty : RendezvousHash.rank(entry, free)) {
-            if (attempts.add(duty)) {
-                long later = delayMillis(order, duty, steps);
-                loop.after(later, () -> take(duty));
+            if (acquiring.add(duty)) {
+                long delay = delayMillis(order, duty, steps);
+                loop.after(delay, () -> acquire(duty));
                 steps++;
             }
         }
     }
 
-    private boolean isReturning() {
-        return loop.clock().millis() - reopenedAt <= RETURN_MILLIS;
+    private boolean isRejoining() {
+        return loop.clock().millis() - reopenedAt <= REJOIN_MILLIS;
     }
 
-    /** Returns how long after it has become free this entry tries for a duty, with so many others that it has by then. */
+    /**
+     * Returns how long this entry waits before it tries for a free duty, given the number of duties that it owns or
+     * is acquiring.
+     */
     private long delayMillis(OwnerRank order, String duty, int steps) {
-        int place =
-                leavesAny() ? MOST_PLACES : Math.min(MOST_PLACES, order.of(entry, duty, members.ranked(isReturning())));
-        return place * STAGGER_MILLIS + Math.min(steps, MOST_STEPS) * NEXT_DUTY_MILLIS;
+        int rank =
+                defersAny() ? MAX_RANK : Math.min(MAX_RANK, order.of(entry, duty, members.candidates(isRejoining())));
+        return rank * STAGGER_MILLIS + Math.min(steps, MAX_DUTY_STEPS) * DUTY_DELAY_MILLIS;
     }
 
     /**
-     * Hands one duty over when another entry had better do it: planned restarts leave all duties to the entry that is
-     * restarted last, and a small entry may win one while the large ones start.
+     * Hands over one duty if another entry is better suited: planned restarts leave all duties with the entry that is
+     * restarted last, and a small entry may win a duty while the large ones start.
      */
-    private void shareOut() {
+    private void rebalance() {
         long now = loop.clock().millis();
-        members.see();
-        if (stopping || now - sharedAt < SHARE_EVERY_MILLIS || owned.isEmpty()) {
+        members.trackRegistrations();
+        if (stopping || now - rebalancedAt < REBALANCE_INTERVAL_MILLIS || owned.isEmpty()) {
             return;
         }
         Map<String, StoreItem> owners = members.owners();
-        // What it has done for longest it goes on doing.
-        Optional<String> newest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
-        Optional<String> held = newest.filter(d -> now - wonAt(d) >= HELD_MILLIS);
-        Optional<String> relief = members.order(owners).reliefOf(entry, members.settled(SETTLED_MILLIS));
-        if (held.isPresent() && relief.isPresent() && owners.keySet().containsAll(duties)) {
-            sharedAt = now;
-            release(held.get(), relief.get() + " has less to do for what it can do");
+        // The duty won last is handed over; those owned for longer stay.
+        Optional<String> latest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
+        Optional<String> held = latest.filter(d -> now - wonAt(d) >= MIN_HOLD_MILLIS);
+        Optional<String> target = members.order(owners).reliefOf(entry, members.registeredFor(MIN_REGISTERED_MILLIS));
+        if (held.isPresent() && target.isPresent() && owners.keySet().containsAll(duties)) {
+            rebalancedAt = now;
+            release(held.get(), target.get() + " has a lower load for its capacity");
         }
     }
 
@@ -456,14 +472,14 @@
         return wonAt.getOrDefault(duty, loop.clock().millis());
     }
 
-    /** Hands a duty over: its owner writes what it alone knows, then the key goes. */
+    /** Hands over a duty: the owner makes its state durable, and then the key is removed. */
     private void release(String duty, String why) {
         Long fence = owned.get(duty);
-        if (fence == null || handOvers.isUnderWay(fence)) {
+        if (fence == null || handOvers.isInProgress(fence)) {
             return;
         }
         handOvers
-                .begin(duty, fence, HandOver.TO_ANOTHER_ENTRY)
+                .begin(duty, fence, HandOverReason.TO_ANOTHER_ENTRY)
                 .thenRunAsync(() -> removeKey(duty, fence, why), loop::execute);
     }
 
@@ -471,48 +487,50 @@
         if (!owned.remove(duty, fence)) {
             return;
         }
-        spent.add(fence);
+        endedFences.add(fence);
         listener.lost(duty, why);
-        released.add(fence);
+        releasedFences.add(fence);
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, fence).remove(key).build())
                 .thenAcceptAsync(
                         r -> {
                             Log.info("duty-released", "duty", duty, "fence", fence, "outcome", r.outcome());
                             if (r.outcome() != CommitResult.Outcome.MADE) {
-                                // It may still be this entry's, and then nobody else could take it up.
-                                released.remove(fence);
-                                loop.after(RETRY_MILLIS, this::review);
+                                // The key may still belong to this entry, in which case no other entry could acquire
+                                // the duty.
+                                releasedFences.remove(fence);
+                                loop.after(RETRY_MILLIS, this::reconcile);
                             }
                         },
                         loop::execute);
     }
 
-    private void take(String duty) {
+    private void acquire(String duty) {
         Map<String, StoreItem> owners = members.owners();
         boolean free = !owners.containsKey(duty) && !owned.containsKey(duty);
         if (!free || stopping || lease == 0 || !duties.contains(duty)) {
-            attempts.remove(duty);
+            acquiring.remove(duty);
             return;
         }
-        // It may have been owned and become free again since this try was planned: its time counts anew.
+        // The duty may have been owned and become free again since this attempt was scheduled, so the delay starts
+        // again.
         long now = loop.clock().millis();
         long due = freeSince.getOrDefault(duty, now) + delayMillis(members.order(owners), duty, owned.size());
         if (now < due) {
-            loop.after(due - now, () -> take(duty));
+            loop.after(due - now, () -> acquire(duty));
             return;
         }
         String key = JobKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, 0).put(key, entry, lease).build())
-                .thenAcceptAsync(r -> taken(duty, r), loop::execute);
+                .thenAcceptAsync(r -> onAcquireResult(duty, r), loop::execute);
     }
 
-    private void taken(String duty, CommitResult r) {
-        attempts.remove(duty);
+    private void onAcquireResult(String duty, CommitResult r) {
+        acquiring.remove(duty);
         if (r.outcome() == CommitResult.Outcome.MADE && !stopping) {
             won(duty, r.revision());
         } else if (r.outcome() != CommitResult.Outcome.CONFLICT) {
-            loop.after(RETRY_MILLIS, this::review);
+            loop.after(RETRY_MILLIS, this::reconcile);
         }
     }
 
@@ -522,19 +540,21 @@
         listener.won(duty, fence);
     }
 
-    /** Hands all duties over, then ends the lease, so that others follow at once; until then the lease is renewed. */
+    /**
+     * Hands over all duties and then ends the lease, so that others succeed at once; the lease is renewed until then.
+     */
     void stop() {
         if (stopping) {
             return;
         }
         stopping = true;
         List<CompletableFuture<Void>> all = new ArrayList<>();
-        owned.forEach((duty, fence) -> all.add(handOvers.begin(duty, fence, HandOver.OF_AN_ENTRY_THAT_ENDS)));
+        owned.forEach((duty, fence) -> all.add(handOvers.begin(duty, fence, HandOverReason.ENTRY_SHUTDOWN)));
         CompletableFuture.allOf(all.toArray(CompletableFuture[]::new)).thenRunAsync(this::endLease, loop::execute);
     }
 
     private void endLease() {
-        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "this entry stops"));
+        Map.copyOf(owned).forEach((duty, fence) -> giveUp(duty, fence, "this entry is shutting down"));
         long last = lease;
         lease = 0;
         if (last != 0) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -59,38 +59,37 @@
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
 /**
- * Runs the scheduler of one service while this entry owns it: reads what earlier owners left, watches for new
- * jobs, carries orders out and makes progress durable. All on the event loop.
+ * Runs the scheduler of one service while this entry owns it: reads what earlier owners stored, watches for new jobs,
+ * sends orders and makes progress durable. Everything runs on the event loop.
  */
 final class SchedulerHost implements SchedulerPort, PrefixWatch.Listener, AutoCloseable {
 
     private static final long TICK_MILLIS = 25;
-    // An entry has less than a core; events come every few milliseconds when it is busy.
-    private static final long TICK_GAP_MILLIS = 5;
+    // An entry has less than one core, and events arrive every few milliseconds under load.
+    private static final long MIN_TICK_GAP_MILLIS = 5;
     private static final long RETRY_MILLIS = 150;
-    // Counts of waiting jobs may be 2 s old when they are told; pools are sized by the same report.
+    // Counts of pending jobs may be 2 s old when they are reported; pools are sized by the same report.
     private static final long REPORT_MILLIS = 400;
     private static final long REPORT_CHECK_MILLIS = 120;
-    private static final long LOOK_FOR_MISSED_MILLIS = 700;
-    private static final long FORGET_EVERY_MILLIS = 5_000;
-    // What was heard is still worth writing when the store comes back: its outages last 3 to 9 s. If the key is there
-    // by
-    // then nobody else owns the service, and it allows the write.
-    private static final long REST_MILLIS = 10_000;
-    // One line a second and service: what an engineer on call asks first.
-    private static final long TELL_LOAD_MILLIS = 1_000;
-
-    private final Entry entry;
+    private static final long MISSING_WORKER_CHECK_MILLIS = 700;
+    private static final long REMOVAL_INTERVAL_MILLIS = 5_000;
+    // Received results are still worth writing when the store recovers from an outage of 3 to 9 s. If the ownership
+    // key still exists then, no other entry owns the service and the write succeeds.
+    private static final long FINAL_WRITE_MILLIS = 10_000;
+    // One line per second and service; it is the first thing an on-call engineer looks for.
+    private static final long LOAD_LOG_MILLIS = 1_000;
+
+    private final Context context;
     private final String service;
     private final long fence;
-    private final Runnable ownershipGone;
-    private final StartPatience patience;
+    private final Runnable onOwnershipLost;
+    private final StartupWatchdog watchdog;
     private final long startedAt;
-    private final OwnedRecords records;
+    private final FencedRecordWriter records;
     private final PrefixWatch inputs;
     private final EvacuationFeed evacuations;
-    private final EarlierJobs earlier;
-    private final QuotaKeeper quotas;
+    private final RecoveredJobs recovered;
+    private final QuotaManager quotas;
 
     private @Nullable ServiceScheduler scheduler;
     private final WorkerFeed workers;
@@ -102,25 +101,25 @@
     private @Nullable CompletableFuture<Void> handedOver;
     private long closedAt;
     private boolean closed;
-    /** Whether another owner is known to have followed: nothing that this one writes counts any more. */
-    private boolean followed;
+    /** Whether another owner is known to have taken over, so that this owner's writes no longer count. */
+    private boolean superseded;
 
     /**
-     * What all schedulers of an entry share.
+     * The components that all schedulers of an entry share.
      *
      * @param store the platform's store
-     * @param orders orders to workers
-     * @param advice which workers may run a step
-     * @param instances the list of instances
+     * @param orders sends orders to workers
+     * @param advice advises which workers may run a step
+     * @param instances lists the instances
      * @param loop the event loop
      * @param reachesStore whether the store answers this entry
-     * @param wall the time of day
-     * @param timing the scheduler's times
-     * @param meters the entry's figures
-     * @param unreadable entries of the store that can not be read
+     * @param wall the wall clock
+     * @param timing the scheduler's timing
+     * @param meters the entry's metrics
+     * @param unreadable the unreadable entries of the store
      * @param workspaces supplies the workspaces of the current configuration
      */
-    record Entry(
+    record Context(
             KeyValueStore store,
             WorkerOrders orders,
             AdviceService advice,
@@ -129,45 +128,51 @@
             BooleanSupplier reachesStore,
             Clock wall,
             SchedulerTiming timing,
-            JobMeters meters,
+            JobMetrics meters,
             UnreadableEntries unreadable,
-            Supplier<WorkspacesInForce> workspaces) {}
+            Supplier<ActiveWorkspaces> workspaces) {}
 
     /**
-     * Makes the host.
+     * Creates the host.
      *
-     * @param ownershipGone is run when another owner is known to have followed
-     * @param canNotBegin is run when what earlier owners left can not be read
+     * @param onOwnershipLost runs when another owner is known to have taken over
+     * @param onStartStalled runs when reading the records of earlier owners makes no progress
      */
     SchedulerHost(
-            Entry entry, String service, long fence, WorkerFeed workers, Runnable ownershipGone, Runnable canNotBegin) {
-        this.entry = entry;
+            Context context,
+            String service,
+            long fence,
+            WorkerFeed workers,
+            Runnable onOwnershipLost,
+            Runnable onStartStalled) {
+        this.context = context;
         this.service = service;
         this.fence = fence;
         this.workers = workers;
-        this.ownershipGone = ownershipGone;
-        patience = new StartPatience(entry.loop, () -> !closed && scheduler == null, entry.reachesStore, canNotBegin);
-        startedAt = entry.loop.clock().millis();
-        records = new OwnedRecords(entry.store, entry.loop, service, fence);
-        quotas = new QuotaKeeper(entry, service, fence, this::requestTick);
-        earlier = new EarlierJobs(records, entry.loop, service, entry.unreadable);
-        inputs = new PrefixWatch(entry.store, entry.loop, JobKeys.inputs(service), this);
+        this.onOwnershipLost = onOwnershipLost;
+        watchdog = new StartupWatchdog(
+                context.loop, () -> !closed && scheduler == null, context.reachesStore, onStartStalled);
+        startedAt = context.loop.clock().millis();
+        records = new FencedRecordWriter(context.store, context.loop, service, fence);
+        quotas = new QuotaManager(context, service, fence, this::requestTick);
+        recovered = new RecoveredJobs(records, context.loop, service, context.unreadable);
+        inputs = new PrefixWatch(context.store, context.loop, JobKeys.inputs(service), this);
         evacuations = new EvacuationFeed(
-                entry.store,
-                entry.loop,
+                context.store,
+                context.loop,
                 service,
                 records,
-                entry.unreadable,
-                (leaving, urgent) -> told(s -> s.onEvacuations(leaving, urgent)));
+                context.unreadable,
+                (leaving, urgent) -> notifyScheduler(s -> s.onEvacuations(leaving, urgent)));
     }
 
-    /** Reads what earlier owners left, then begins. */
+    /** Reads the records of earlier owners, then starts the scheduler. */
     void start() {
         readProgress();
     }
 
     /** Returns whether jobs are being scheduled. */
-    boolean hasBegun() {
+    boolean isStarted() {
         return scheduler != null;
     }
 
@@ -175,14 +180,14 @@
         if (closed) {
             return;
         }
-        entry.store
-                .range(JobKeys.progress(service), patience::moved)
-                .whenComplete((r, why) -> entry.loop.execute(() -> {
+        context.store
+                .range(JobKeys.progress(service), watchdog::onProgress)
+                .whenComplete((r, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.warn("progress-unread", "service", service, "why", StoreFailure.text(why));
-                        entry.loop.after(RETRY_MILLIS, this::readProgress);
+                        context.loop.after(RETRY_MILLIS, this::readProgress);
                     } else {
-                        earlier.read(r);
+                        recovered.read(r);
                         inputs.start();
                     }
                 }));
@@ -190,7 +195,7 @@
 
     @Override
     public void onPage() {
-        patience.moved();
+        watchdog.onProgress();
     }
 
     @Override
@@ -201,12 +206,13 @@
         if (scheduler == null) {
             begin();
         }
-        entry.unreadable.onlyThese(JobKeys.inputs(service), inputs.items());
-        takeAll(List.copyOf(inputs.items()));
+        context.unreadable.retainOnly(JobKeys.inputs(service), inputs.items());
+        processAll(List.copyOf(inputs.items()));
     }
 
     private void begin() {
-        scheduler = new ServiceScheduler(service, entry.timing, this, quotas.table(), entry.loop.clock(), entry.wall);
+        scheduler =
+                new ServiceScheduler(service, context.timing, this, quotas.table(), context.loop.clock(), context.wall);
         Collection<WorkerFacts> listed = workers.of(service);
         scheduler.onWorkers(listed);
         evacuations.start();
@@ -217,24 +223,24 @@
                 "fence",
                 fence,
                 "millis",
-                entry.loop.clock().millis() - startedAt,
+                context.loop.clock().millis() - startedAt,
                 "inputs",
                 inputs.items().size(),
                 "workers",
                 listed.size(),
                 "jobs-known",
-                earlier.known(),
+                recovered.unclaimedCount(),
                 "jobs-over",
-                earlier.over());
+                recovered.finishedCount());
         repeat(TICK_MILLIS, this::tick);
         repeat(REPORT_CHECK_MILLIS, this::writeReport);
-        repeat(FORGET_EVERY_MILLIS, this::forgetEnded);
-        repeat(LOOK_FOR_MISSED_MILLIS, this::lookForMissed);
-        repeat(TELL_LOAD_MILLIS, this::tellLoad);
+        repeat(REMOVAL_INTERVAL_MILLIS, this::removeExpired);
+        repeat(MISSING_WORKER_CHECK_MILLIS, this::findMissingWorkers);
+        repeat(LOAD_LOG_MILLIS, this::logLoad);
     }
 
     private void repeat(long millis, Runnable step) {
-        entry.loop.after(millis, () -> {
+        context.loop.after(millis, () -> {
             if (!closed) {
                 step.run();
                 repeat(millis, step);
@@ -247,33 +253,33 @@
         if (closed) {
             return;
         }
-        changes.stream().filter(c -> c.item() == null).forEach(c -> entry.unreadable.gone(c.key()));
-        takeAll(changes.stream()
+        changes.stream().filter(c -> c.item() == null).forEach(c -> context.unreadable.onRemoved(c.key()));
+        processAll(changes.stream()
                 .map(StoreChanges.Change::item)
                 .filter(Objects::nonNull)
                 .toList());
     }
 
-    /** Jobs first: a cancellation is lost on a scheduler that does not know the job yet. */
-    private void takeAll(List<StoreItem> items) {
-        items.forEach(this::takeJob);
-        items.forEach(this::takeCancellation);
+    /** Processes jobs before cancellations, because the scheduler ignores the cancellation of an unknown job. */
+    private void processAll(List<StoreItem> items) {
+        items.forEach(this::processJob);
+        items.forEach(this::processCancellation);
         requestTick();
     }
 
-    private void takeJob(StoreItem i) {
+    private void processJob(StoreItem i) {
         ServiceScheduler s = scheduler;
         if (s == null) {
             return;
         }
         JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
-        // A small record is never a job, even if nothing is known of its progress.
-        if (key != null && !earlier.isOver(key) && !i.value().equals(JobSpec.OVER)) {
-            JobSpec spec = entry.unreadable.taken(Kind.JOB, i, read(i, key));
-            if (spec == null || earlier.isUnread(key)) {
+        // A reduced record never starts a job, even if no progress is known for it.
+        if (key != null && !recovered.isFinished(key) && !i.value().equals(JobSpec.OVER)) {
+            JobSpec spec = context.unreadable.recordOrNull(Kind.JOB, i, read(i, key));
+            if (spec == null || recovered.isUnreadable(key)) {
                 s.onUnreadableJob(key);
             } else {
-                s.onJob(spec, earlier.takeProgress(key));
+                s.onJob(spec, recovered.takeProgress(key));
             }
         }
     }
@@ -285,13 +291,13 @@
                         : Either.left(Unreadable.Reason.NOT_OF_ITS_KEY.in("key")));
     }
 
-    private void takeCancellation(StoreItem i) {
+    private void processCancellation(StoreItem i) {
         if (scheduler != null) {
             JobKeys.cancelled(service, i.key()).ifPresent(scheduler::onCancel);
         }
     }
 
-    /** Takes in which workers of the service are listed. */
+    /** Passes the listed workers of the service to the scheduler. */
     void onWorkers() {
         if (scheduler != null) {
             scheduler.onWorkers(workers.of(service));
@@ -299,18 +305,18 @@
         }
     }
 
-    private void lookForMissed() {
+    private void findMissingWorkers() {
         if (scheduler == null || !scheduler.hasSilentWorkersWithTasks()) {
             return;
         }
-        long askedAt = entry.loop.clock().millis();
-        entry.instances
+        long askedAt = context.loop.clock().millis();
+        context.instances
                 .list()
-                .whenComplete((all, why) -> entry.loop.execute(() -> {
+                .whenComplete((all, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.info("instances-unread", "service", service, "why", StoreFailure.text(why));
                     } else if (!all.instances().isEmpty() && all.namesAllWorkers()) {
-                        told(s -> s.onRunningWorkers(living(all.instances()), askedAt));
+                        notifyScheduler(s -> s.onRunningWorkers(living(all.instances()), askedAt));
                     }
                 }));
     }
@@ -322,23 +328,26 @@
                 .collect(Collectors.toSet());
     }
 
-    /** Passes over all jobs and workers are not worth it for each event by itself. */
+    /**
+     * Schedules one tick for several events, because a pass over all jobs and workers is too expensive for each
+     * single event.
+     */
     private void requestTick() {
         if (!tickQueued) {
             tickQueued = true;
-            long due = tickedAt + TICK_GAP_MILLIS - entry.loop.clock().millis();
-            entry.loop.after(Math.max(0, due), this::tick);
+            long due = tickedAt + MIN_TICK_GAP_MILLIS - context.loop.clock().millis();
+            context.loop.after(Math.max(0, due), this::tick);
         }
     }
 
     private void tick() {
         tickQueued = false;
-        tickedAt = entry.loop.clock().millis();
+        tickedAt = context.loop.clock().millis();
         if (!closed && scheduler != null) {
-            // A worker that an earlier owner has called empty may be ordered away at any moment: nothing is placed
-            // before
-            // the requests are read. Nor is anything started while a cancellation may have been answered that is not
-            // known here: right after an outage of the store the list of workers may be new and the jobs' one not.
+            // The instance of a worker that an earlier owner reported as empty may be moved or restarted at any
+            // moment, so nothing is placed before the evacuation requests are read. Nothing is started either while
+            // an acknowledged cancellation may be unknown here: right after an outage of the store, the list of
+            // workers may be current while the list of jobs is not.
             if (evacuations.isRead()) {
                 scheduler.onWorkersConfirmed(Math.min(workers.confirmedAt(), inputs.confirmedAt()));
             }
@@ -348,7 +357,7 @@
         }
     }
 
-    /** Begins nothing new; the future ends when all that this owner alone knows is durable. */
+    /** Stops starting tasks; the future completes when all state that only this owner knows is durable. */
     CompletableFuture<Void> handOver() {
         if (handedOver == null) {
             handedOver = new CompletableFuture<>();
@@ -368,7 +377,7 @@
         }
     }
 
-    private void told(Consumer<ServiceScheduler> event) {
+    private void notifyScheduler(Consumer<ServiceScheduler> event) {
         if (!closed && scheduler != null) {
             event.accept(scheduler);
             requestTick();
@@ -377,33 +386,37 @@
 
     @Override
     public void start(StartOrder order) {
-        entry.orders.start(order, fence).thenAcceptAsync(o -> told(s -> s.onStarted(order, o)), entry.loop::execute);
+        context.orders
+                .start(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onStarted(order, o)), context.loop::execute);
     }
 
     @Override
     public void stop(StopOrder order) {
-        entry.orders.stop(order, fence).thenAcceptAsync(o -> told(s -> s.onStopped(order, o)), entry.loop::execute);
+        context.orders
+                .stop(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onStopped(order, o)), context.loop::execute);
     }
 
     @Override
     public void hold(HoldOrder order) {
-        long sentAt = entry.loop.clock().millis();
-        entry.orders
+        long sentAt = context.loop.clock().millis();
+        context.orders
                 .hold(order, fence)
                 .exceptionally(why -> unreadable(order, why))
                 .thenAcceptAsync(
-                        r -> told(s -> {
-                            entry.meters.held(r.outcome());
+                        r -> notifyScheduler(s -> {
+                            context.meters.holdAnswered(r.outcome());
                             if (r.answer() == null) {
                                 s.onHoldFailed(order, r.outcome());
                             } else {
                                 s.onHoldAnswered(order, sentAt, r.answer());
                             }
                         }),
-                        entry.loop::execute);
+                        context.loop::execute);
     }
 
-    /** A worker whose answer can not be read is one that has not answered: without an outcome it is never asked again. */
+    /** Treats an unreadable answer as no answer; without an outcome the worker would never be asked again. */
     private static HoldResult unreadable(HoldOrder order, Throwable why) {
         Log.warn("hold-unreadable", "worker", order.worker().id(), "why", why);
         return new HoldResult(OrderOutcome.UNKNOWN, null);
@@ -411,32 +424,34 @@
 
     @Override
     public void pace(PaceOrder order) {
-        entry.orders.pace(order, fence).thenAcceptAsync(o -> told(s -> s.onPaced(order, o)), entry.loop::execute);
+        context.orders
+                .pace(order, fence)
+                .thenAcceptAsync(o -> notifyScheduler(s -> s.onPaced(order, o)), context.loop::execute);
     }
 
     @Override
     public void advise(AdviceRequest order) {
-        entry.advice
+        context.advice
                 .advise(order)
-                .thenAcceptAsync(a -> told(s -> s.onAdvice(order, a.orElse(null))), entry.loop::execute);
+                .thenAcceptAsync(a -> notifyScheduler(s -> s.onAdvice(order, a.orElse(null))), context.loop::execute);
     }
 
     @Override
     public void save(List<ProgressWrite> batch) {
         Map<String, String> values = new LinkedHashMap<>();
-        Map<String, String> small = new LinkedHashMap<>();
+        Map<String, String> reduced = new LinkedHashMap<>();
         for (ProgressWrite s : batch) {
             values.put(JobKeys.progress(service, s.job()), RecordCodec.write(s.progress()));
             if (s.progress().over()) {
-                small.put(JobKeys.job(service, s.job()), JobSpec.OVER);
+                reduced.put(JobKeys.job(service, s.job()), JobSpec.OVER);
             }
         }
-        records.write(values, small, outcome -> saved(batch, outcome));
+        records.write(values, reduced, outcome -> saved(batch, outcome));
     }
 
-    private void saved(List<ProgressWrite> batch, OwnedRecords.Outcome outcome) {
+    private void saved(List<ProgressWrite> batch, FencedRecordWriter.Outcome outcome) {
         ServiceScheduler s = scheduler;
-        if (s == null || followed) {
+        if (s == null || superseded) {
             return;
         }
         switch (outcome) {
@@ -453,8 +468,8 @@
                 s.onSaveRejected(batch);
             }
             case NOT_OWNER -> {
-                followed = true;
-                ownershipLost("the store refused a write: not the owner any more");
+                superseded = true;
+                ownershipLost("the store rejected a write: this entry no longer owns the service");
             }
         }
         if (!closed) {
@@ -462,18 +477,21 @@
         }
     }
 
-    /** Goes on writing what was heard before the end, as long as the store takes it. */
-    private void writeRest() {
+    /**
+     * Continues after the end of ownership to write results received before it, for as long as the store accepts
+     * them.
+     */
+    private void writeRemaining() {
         ServiceScheduler s = scheduler;
-        if (s == null || followed || s.isFullySaved()) {
+        if (s == null || superseded || s.isFullySaved()) {
             return;
         }
-        if (entry.loop.clock().millis() - closedAt > REST_MILLIS) {
+        if (context.loop.clock().millis() - closedAt > FINAL_WRITE_MILLIS) {
             Log.warn("progress-left-unwritten", "service", service, "fence", fence);
             return;
         }
         s.flush();
-        entry.loop.after(TICK_MILLIS, this::writeRest);
+        context.loop.after(TICK_MILLIS, this::writeRemaining);
     }
 
     @Override
@@ -485,52 +503,53 @@
     public void ownershipLost(String evidence) {
         if (!closed) {
             Log.warn("ownership-lost", "service", service, "fence", fence, "evidence", evidence);
-            entry.loop.execute(ownershipGone);
+            context.loop.execute(onOwnershipLost);
         }
     }
 
     @Override
     public void note(SchedulerEvent e) {
-        entry.meters.decided(e);
+        context.meters.decided(e);
         DecisionLog.write(service, fence, e);
     }
 
-    /** A pool that has become too small is told of at once, other news a little later. */
+    /** Reports a growing demand for workers at once, and other changes with a short delay. */
     private void writeReport() {
         if (scheduler == null) {
             return;
         }
-        long now = entry.loop.clock().millis();
+        long now = context.loop.clock().millis();
         ServiceReport report = scheduler.report();
         boolean grown = reported == null || report.needed() > reported.needed();
         if (reporting || report.equals(reported) || (!grown && now - reportedAt < REPORT_MILLIS)) {
             return;
         }
         reportedAt = now;
-        // One at a time: at a slow store each would else meet the revision of the one before.
+        // Only one report is written at a time, since with a slow store the next write would conflict with the
+        // revision of the previous one.
         reporting = true;
         records.write(Map.of(JobKeys.report(service), RecordCodec.write(report)), outcome -> {
             reporting = false;
-            reported = outcome == OwnedRecords.Outcome.SAVED ? report : null;
+            reported = outcome == FencedRecordWriter.Outcome.SAVED ? report : null;
         });
     }
 
-    private void tellLoad() {
+    private void logLoad() {
         if (scheduler != null) {
             DecisionLog.writeLoad(service, fence, scheduler.load());
         }
     }
 
-    private void forgetEnded() {
+    private void removeExpired() {
         if (scheduler != null) {
-            earlier.forget(scheduler.forgetEnded(EarlierJobs.FORGET_AFTER_MILLIS));
+            recovered.removeExpired(scheduler.forgetEnded(RecoveredJobs.RETENTION_MILLIS));
         }
     }
 
     @Override
     public void close() {
         closed = true;
-        closedAt = entry.loop.clock().millis();
+        closedAt = context.loop.clock().millis();
         inputs.close();
         evacuations.close();
         quotas.close();
@@ -539,6 +558,6 @@
         if (handedOver != null) {
             handedOver.complete(null);
         }
-        writeRest();
+        writeRemaining();
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/WorkerFeed.java
@@ -27,11 +27,11 @@
 import org.lupinpaddle.daemon.port.StoreChanges;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** The workers that the platform lists now. */
+/** Follows the workers that the platform lists. */
 final class WorkerFeed implements PrefixWatch.Listener, AutoCloseable {
 
-    // Some worker's record changes every few dozen milliseconds; a leaving worker gives 2 s notice.
-    private static final long PAUSE_MILLIS = 250;
+    // Workers' records change every few dozen milliseconds; a worker gives 2 s notice before it leaves.
+    private static final long BATCH_MILLIS = 250;
 
     private final PlatformRecords records;
     private final UnreadableEntries unreadable;
@@ -48,14 +48,14 @@
         this.records = records;
         this.unreadable = unreadable;
         this.onChange = onChange;
-        watch = new PrefixWatch(store, loop, records.workerPrefix(), PAUSE_MILLIS, this);
+        watch = new PrefixWatch(store, loop, records.workerPrefix(), BATCH_MILLIS, this);
     }
 
     void start() {
         watch.start();
     }
 
-    /** Returns since when the list may be out of date. */
+    /** Returns the time since which the list may be out of date. */
     long confirmedAt() {
         return watch.confirmedAt();
     }
@@ -68,8 +68,8 @@
     @Override
     public void onRead() {
         byKey.clear();
-        unreadable.onlyThese(records.workerPrefix(), watch.items());
-        new ArrayList<>(watch.items()).forEach(this::take);
+        unreadable.retainOnly(records.workerPrefix(), watch.items());
+        new ArrayList<>(watch.items()).forEach(this::update);
         onChange.run();
     }
 
@@ -78,20 +78,20 @@
         for (StoreChanges.Change c : changes) {
             if (c.item() == null) {
                 byKey.remove(c.key());
-                unreadable.gone(c.key());
+                unreadable.onRemoved(c.key());
             } else {
-                take(c.item());
+                update(c.item());
             }
         }
         onChange.run();
     }
 
     /**
-     * A worker whose record can not be read is not listed, also when it was before: nothing is started there. What runs
-     * there is held on: its owner goes on with the address that it has.
+     * Removes a worker with an unreadable record from the list, so nothing new is started on it. Its running tasks
+     * are kept: the owner continues to use the known address.
      */
-    private void take(StoreItem item) {
-        WorkerFacts w = unreadable.taken(Kind.WORKER, item, records.worker(item));
+    private void update(StoreItem item) {
+        WorkerFacts w = unreadable.recordOrNull(Kind.WORKER, item, records.worker(item));
         if (w == null) {
             byKey.remove(item.key());
         } else {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/DirectLoop.java
@@ -18,13 +18,13 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.daemon.common.EventLoop;
 
-/** Runs each step at once. */
+/** Runs each step immediately and never runs scheduled steps. */
 final class DirectLoop implements EventLoop {
 
     private long now;
 
     /** Advances the clock without running scheduled steps. */
-    void passes(long millis) {
+    void advance(long millis) {
         now += millis;
     }
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -34,7 +34,9 @@
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** A hand-over says what this process has ordered; what others have ordered is as recent as before. */
+/**
+ * Tests that a hand-over shortens the wait only for orders of this process, not for recent orders of earlier owners.
+ */
 class FleetHandOverTest {
 
     private static final long OWNER_LEASE_MILLIS = 3_000;
@@ -61,7 +63,7 @@
         }
     }
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
         @Override
         public void won(String duty, long fence) {}
 
@@ -70,11 +72,11 @@
     }
 
     private FleetHost owner(String name) {
-        OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
+        OwnershipManager ownership = new OwnershipManager(store, loop, name, 1, new NoDuties());
         ownership.start();
-        passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.defaults(2_000, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Entry entry = new FleetHost.Entry(
+        advance(STEP_MILLIS);
+        FleetTiming timing = FleetTiming.defaults(2_000, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetHost.Context context = new FleetHost.Context(
                 name,
                 store,
                 new Instances(),
@@ -83,39 +85,39 @@
                 ownership,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()));
-        FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()));
+        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
-            store.tellWatches();
+            loop.advance(STEP_MILLIS);
+            store.notifyWatches();
         }
     }
 
     @Test
-    void doesNotShortenTheWaitForAnEarlierOwnerThatLivesOn() {
+    void doesNotShortenTheWaitForARunningEarlierOwner() {
         store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         FleetHost first = owner("entry-1");
-        passes(300);
+        advance(300);
         first.close();
         assertTrue(holders.contains("entry-1"));
         long last = orderedAt.get(orderedAt.size() - 1);
         int before = holders.size();
         FleetHost second = owner("entry-2");
-        passes(200);
-        assertEquals(before, holders.size(), "it leaves the instance alone");
-        second.handOver(HandOver.OF_AN_ENTRY_THAT_ENDS);
-        passes(100);
+        advance(200);
+        assertEquals(before, holders.size(), "the second owner must not order the instance yet");
+        second.handOver(HandOverReason.ENTRY_SHUTDOWN);
+        advance(100);
         second.close();
         owner("entry-3");
-        passes(6_000);
+        advance(6_000);
         assertEquals("entry-3", holders.get(before));
         long between = orderedAt.get(before) - last;
-        assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms after the order of entry-1, which is alive");
+        assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms after the order of entry-1, which still runs");
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -36,21 +36,22 @@
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** Which instances the owners of a fleet order when, as one follows the other. */
+/** Tests when successive owners of the fleet may order the same instance. */
 class FleetHostTest {
 
     private static final long UPKEEP_MILLIS = 2_000;
-    /** The platform asks for so long between the orders of two owners to one instance. */
+    /** The time that the platform requires between orders of two owners for one instance. */
     private static final long OWNER_LEASE_MILLIS = 3_000;
-    // What an owner knows of its last order's age when it ends: it writes it down every so often.
-    private static final long WRITTEN_EVERY_MILLIS = 500;
+    // The interval at which an owner records the age of its last order, which limits how exactly its successor knows
+    // that age.
+    private static final long RECORD_INTERVAL_MILLIS = 500;
     private static final long STEP_MILLIS = 50;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final Instances instances = new Instances();
 
-    /** A platform whose list always shows one instance that stands by. */
+    /** A platform that always lists one spare instance. */
     private final class Instances implements InstanceOrders {
 
         private final List<Long> orderedAt = new ArrayList<>();
@@ -70,7 +71,7 @@
         }
     }
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
 
         @Override
         public void won(String duty, long fence) {}
@@ -80,17 +81,17 @@
     }
 
     @BeforeEach
-    void aPoolAsksForAnInstance() {
+    void requestInstance() {
         ServiceReport report = new ServiceReport(Map.of(), 1, 1, 0, List.of());
         store.set(JobKeys.report("clips"), RecordCodec.write(report));
     }
 
     private FleetHost owner(String name) {
-        OwnershipKeeper ownership = new OwnershipKeeper(store, loop, name, 1, new NoDuties());
+        OwnershipManager ownership = new OwnershipManager(store, loop, name, 1, new NoDuties());
         ownership.start();
-        passes(STEP_MILLIS);
-        FleetTiming timing = FleetTiming.defaults(UPKEEP_MILLIS, FleetHost.Entry.takeOverMillis(OWNER_LEASE_MILLIS));
-        FleetHost.Entry entry = new FleetHost.Entry(
+        advance(STEP_MILLIS);
+        FleetTiming timing = FleetTiming.defaults(UPKEEP_MILLIS, FleetHost.Context.takeOverMillis(OWNER_LEASE_MILLIS));
+        FleetHost.Context context = new FleetHost.Context(
                 name,
                 store,
                 instances,
@@ -99,64 +100,64 @@
                 ownership,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()));
-        FleetHost host = new FleetHost(entry, store.set(JobKeys.owner(JobNode.FLEET), name));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()));
+        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
-            store.tellWatches();
+            loop.advance(STEP_MILLIS);
+            store.notifyWatches();
         }
     }
 
-    /** Lets one owner after the other own the fleet for this long. */
-    private void ownersFollowEachOther(long eachMillis, String... names) {
+    /** Lets each of the entries in turn own the fleet for the given time. */
+    private void runOwners(long eachMillis, String... names) {
         for (String n : names) {
             FleetHost host = owner(n);
-            passes(eachMillis);
+            advance(eachMillis);
             host.close();
         }
     }
 
     @Nested
-    class ASuccessor {
+    class Successor {
 
-        private long betweenOrders() {
+        private long millisBetweenOrders() {
             assertEquals(2, instances.orderedAt.size());
             return instances.orderedAt.get(1) - instances.orderedAt.get(0);
         }
 
-        private void soonAfterTheLeaseOfTheFirst(int changes) {
-            long between = betweenOrders();
+        private void assertOrderedSoonAfterTheLease(int changes) {
+            long between = millisBetweenOrders();
             assertTrue(between >= OWNER_LEASE_MILLIS, between + " ms between two owners' orders");
-            long latest = OWNER_LEASE_MILLIS + changes * WRITTEN_EVERY_MILLIS + WRITTEN_EVERY_MILLIS;
+            long latest = OWNER_LEASE_MILLIS + changes * RECORD_INTERVAL_MILLIS + RECORD_INTERVAL_MILLIS;
             assertTrue(between <= latest, between + " ms between two owners' orders, though the first was answered");
         }
 
         @Test
-        void waitsOnlyForTheRestOfThePredecessorsTime() {
-            ownersFollowEachOther(2_000, "entry-1");
-            ownersFollowEachOther(10_000, "entry-2");
-            soonAfterTheLeaseOfTheFirst(1);
+        void waitsOnlyForTheRemainingLease() {
+            runOwners(2_000, "entry-1");
+            runOwners(10_000, "entry-2");
+            assertOrderedSoonAfterTheLease(1);
         }
 
         @Test
-        void doesNotWaitAnewForWhatThePredecessorWaitedFor() {
-            ownersFollowEachOther(1_000, "entry-1", "entry-2");
-            ownersFollowEachOther(10_000, "entry-3");
-            soonAfterTheLeaseOfTheFirst(2);
+        void doesNotRestartThePredecessorsWait() {
+            runOwners(1_000, "entry-1", "entry-2");
+            runOwners(10_000, "entry-3");
+            assertOrderedSoonAfterTheLease(2);
         }
 
         @Test
-        void waitsForAllThatAnUnansweredOrderMayTake() {
+        void waitsForTheCallOfAnUnansweredOrder() {
             instances.answers = false;
-            ownersFollowEachOther(WRITTEN_EVERY_MILLIS, "entry-1");
-            ownersFollowEachOther(10_000, "entry-2");
-            assertTrue(betweenOrders() >= OWNER_LEASE_MILLIS + InstanceOrders.CALL_MILLIS);
+            runOwners(RECORD_INTERVAL_MILLIS, "entry-1");
+            runOwners(10_000, "entry-2");
+            assertTrue(millisBetweenOrders() >= OWNER_LEASE_MILLIS + InstanceOrders.CALL_MILLIS);
         }
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
@@ -29,101 +29,104 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /**
- * An entry that is stopped as planned owns a service, and has heard some milliseconds ago that a task is done. The write
- * of that is under way. It used to end its lease at once: with the lease goes the key on which the write depends, so the
- * store refuses it, the record goes on saying that the task runs, and the next owner runs it again if the task's worker has
- * left before it was asked. The log showed {@code lease-given-back} in the millisecond of {@code stopping}, with a
- * {@code RUN_ENDED} before it whose record no owner ever wrote.
+ * Guards against losing a received result in a planned stop. An entry that ended its lease at once also removed the
+ * key that its writes depend on. A write in progress was then refused, the record still showed the task as running,
+ * and the next owner ran the task again if its worker had left. The log showed {@code lease-given-back} in the same
+ * millisecond as {@code stopping}, after a {@code RUN_ENDED} whose record no owner ever wrote.
  */
 class HandOverTest {
 
-    /** An entry that stops serves callers on for so long in any case: what a hand-over takes beyond it delays the stop. */
-    private static final long SERVE_ON_MILLIS = 3_000;
+    /** The time for which a stopping entry serves callers in any case; a longer hand-over delays the stop. */
+    private static final long SHUTDOWN_SERVING_MILLIS = 3_000;
 
     private final NodeFixture f = new NodeFixture();
 
     @Nested
     class OfAService {
 
-        /** One write of an end got no answer and was not made. */
+        /** The write of a result got no answer and was not applied. */
         @Test
-        void comesAfterWhatWasHeardIsWritten() {
-            f.serves("w1");
-            f.store.holdsCommits = true;
-            f.ends("w1");
-            f.passes(30);
+        void waitsUntilReceivedResultsAreWritten() {
+            f.startServing("w1");
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
+            f.advance(30);
             f.node.stop();
-            f.passes(20);
-            f.store.holdsCommits = false;
-            f.passes(1_000);
-            assertTrue(f.saysOver(f.jobOn("w1")), "the next owner would run it again");
+            f.advance(20);
+            f.store.dropsCommitAnswers = false;
+            f.advance(1_000);
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")), "the next owner would run the task again");
             assertFalse(f.owns("clips"));
         }
 
-        /** The write was made and only its answer was lost: what lies in the store is newer than what was last known. */
+        /**
+         * The write was applied but its answer was lost, so the stored record is newer than the last known revision.
+         */
         @Test
-        void comesAfterAWriteWhoseAnswerWasLostIsKnownToBeMade() {
-            f.serves("w1", "w2");
-            f.store.holdsCommits = true;
-            f.ends("w1");
-            f.passes(30);
-            f.store.carryOutHeld();
-            f.ends("w2");
-            f.passes(30);
+        void waitsUntilAnUnansweredWriteIsConfirmed() {
+            f.startServing("w1", "w2");
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
+            f.advance(30);
+            f.store.applyDroppedCommits();
+            f.endRunOn("w2");
+            f.advance(30);
             f.node.stop();
-            f.store.holdsCommits = false;
-            f.passes(1_000);
-            assertTrue(f.saysOver(f.jobOn("w1")));
-            assertTrue(f.saysOver(f.jobOn("w2")), "heard before the stop");
+            f.store.dropsCommitAnswers = false;
+            f.advance(1_000);
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w1")));
+            assertTrue(f.isRecordedAsFinished(f.jobOn("w2")), "the result was received before the stop");
             assertFalse(f.owns("clips"));
         }
 
-        /** Its worker leaves within the 2 s of its notice: whoever follows may come too late to ask it. */
+        /** The worker leaves after a notice of 2 s, so the next owner may be too late to contact it. */
         @Test
-        void comesAfterAnEndOfALeavingWorkerThatArrivesMeanwhile() {
-            f.serves("w1", "w2");
-            f.lists("w2", true);
-            f.passes(600);
-            f.store.holdsCommits = true;
-            f.ends("w1");
-            f.passes(30);
+        void waitsForAResultOfADrainingWorkerThatArrivesMeanwhile() {
+            f.startServing("w1", "w2");
+            f.listWorker("w2", true);
+            f.advance(600);
+            f.store.dropsCommitAnswers = true;
+            f.endRunOn("w1");
+            f.advance(30);
             f.node.stop();
-            f.ends("w2");
-            f.passes(60);
-            f.store.holdsCommits = false;
-            f.passes(1_000);
-            assertTrue(f.saysOver(f.jobOn("w2")), "it ended while the hand-over waited for the other write");
+            f.endRunOn("w2");
+            f.advance(60);
+            f.store.dropsCommitAnswers = false;
+            f.advance(1_000);
+            assertTrue(
+                    f.isRecordedAsFinished(f.jobOn("w2")),
+                    "the task ended while the hand-over waited for the other write");
             assertFalse(f.owns("clips"));
         }
 
-        /** What the next owner finds out by asking workers takes time; what begins now would be begun under both. */
+        /** The next owner needs time to contact the workers; a task started now would be started by both owners. */
         @Test
-        void beginsNothingOnceItIsUnderWay() {
-            f.serves("w1");
+        void startsNoTaskOnceInProgress() {
+            f.startServing("w1");
             f.node.stop();
-            f.lists("w2", false);
-            f.handsIn("late");
-            f.passes(2_000);
+            f.listWorker("w2", false);
+            f.submit("late");
+            f.advance(2_000);
             assertEquals(1, f.workers.starts.size());
         }
 
-        /** Nobody starts the callers' jobs meanwhile, and while the store answers nobody there is no use in waiting. */
+        /** No jobs start during a hand-over, and waiting is useless while the store answers nobody. */
         @Test
-        void doesNotWaitForAStoreThatStaysAwayLongerThanTheEntryServesOn() {
-            f.serves("w1");
-            f.ends("w1");
-            f.store.holdsCommits = true;
-            f.passes(30);
+        void doesNotWaitLongerForTheStoreThanTheEntryServes() {
+            f.startServing("w1");
+            f.endRunOn("w1");
+            f.store.dropsCommitAnswers = true;
+            f.advance(30);
             f.node.stop();
-            assertTrue(f.untilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SERVE_ON_MILLIS);
+            assertTrue(f.millisUntilFree("clips", NodeFixture.GRACE_SECONDS * 1_000) < SHUTDOWN_SERVING_MILLIS);
         }
 
-        /** Without anything to write a service has a free key as soon as before: what callers wait for is the next owner. */
+        /** Without pending writes the key is released at once, since callers wait for the next owner. */
         @Test
-        void isImmediateWhenNothingIsUnwritten() {
-            f.serves("w1");
+        void isImmediateWithoutPendingWrites() {
+            f.startServing("w1");
             f.node.stop();
-            assertTrue(f.untilFree("clips", 1_000) <= 2 * NodeFixture.STEP_MILLIS);
+            assertTrue(f.millisUntilFree("clips", 1_000) <= 2 * NodeFixture.STEP_MILLIS);
         }
     }
 
@@ -132,33 +135,33 @@
 
         private static final String DUTY = JobNode.FLEET;
 
-        private void ordersAnInstance() {
+        private void requestInstance() {
             f.instances.all = List.of(new PlatformInstance("m1", "spare", PlatformInstance.State.UP, "north", ""));
             f.store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         }
 
         /**
-         * The record of what has been ordered was being written as the stop came: the successor has to be told what became
-         * of it, or leaves the instance alone for seconds while jobs wait for it.
+         * The record of orders was being written when the stop was requested. The successor must learn the outcome;
+         * otherwise it leaves the instance alone for seconds while jobs wait for it.
          */
         @Test
-        void tellsOfOrdersWhoseRecordWasBeingWritten() {
-            f.serves("w1");
-            ordersAnInstance();
+        void recordsTheFateOfOrdersWhoseRecordWasBeingWritten() {
+            f.startServing("w1");
+            requestInstance();
             f.store.delaysCommits = true;
-            for (int i = 0; i < 40 && !f.store.delaysRecentOrders(); i++) {
-                f.passes(NodeFixture.STEP_MILLIS);
+            for (int i = 0; i < 40 && !f.store.hasDelayedRecentOrders(); i++) {
+                f.advance(NodeFixture.STEP_MILLIS);
             }
-            assertTrue(f.store.delaysRecentOrders(), "the order's record waits for its answer");
+            assertTrue(f.store.hasDelayedRecentOrders(), "the write of the order's record must be unanswered");
             f.node.stop();
-            f.passes(NodeFixture.STEP_MILLIS);
+            f.advance(NodeFixture.STEP_MILLIS);
             f.store.delaysCommits = false;
-            while (f.store.answerOne()) {
-                f.passes(NodeFixture.STEP_MILLIS);
+            while (f.store.answerNext()) {
+                f.advance(NodeFixture.STEP_MILLIS);
             }
-            f.passes(500);
-            assertTrue(f.instances.orders.isEmpty(), "a stopping owner orders nothing");
-            assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "nothing was ordered after all");
+            f.advance(500);
+            assertTrue(f.instances.orders.isEmpty(), "a stopping owner must not order instances");
+            assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "the instance was not ordered");
             assertFalse(f.owns(DUTY));
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobQuestionsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -30,8 +30,8 @@
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
 
-/** What operators are told of jobs, from the store alone. */
-class JobQuestionsTest {
+/** Tests the answers to operators' commands about jobs, which are read from the store alone. */
+class JobCommandExecutorTest {
 
     private static final JobKey A = new JobKey("q", "a");
     private static final long WALL_MILLIS = 9_000;
@@ -40,9 +40,9 @@
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
-    private final JobQuestions questions =
-            new JobQuestions(store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
+    private final JobCommandExecutor questions = new JobCommandExecutor(
+            store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
 
     private List<String> answer(String words) {
         List<String> lines = new ArrayList<>();
@@ -51,12 +51,12 @@
     }
 
     @Nested
-    class ARecordThatCanNotBeRead {
+    class UnreadableRecord {
 
         @Test
-        void isListedWithWhatIsWrongWithIt() {
+        void isListedWithItsError() {
             store.set(JobKeys.job("clips", A), "{}");
-            store.setNoText(JobKeys.progress("clips", A));
+            store.setNonText(JobKeys.progress("clips", A));
             List<String> lines = answer("job list");
             assertEquals(2, lines.size(), lines.toString());
             assertTrue(lines.get(0).startsWith(JobKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
@@ -64,7 +64,7 @@
         }
 
         @Test
-        void ofAnyKindIsListedByItself() {
+        void ofAnyKindIsListed() {
             assertEquals(List.of("all entries can be read"), answer("job unreadable"));
             List<String> keys = List.of(
                     FakeRecords.CONFIGURATION,
@@ -88,7 +88,7 @@
     }
 
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         private void isOver(JobProgress p) {
             store.set(JobKeys.job("clips", A), "over");
@@ -96,7 +96,7 @@
         }
 
         @Test
-        void isExplainedWithoutItsSteps() {
+        void isExplainedWithoutSteps() {
             isOver(new JobProgress(JobState.FAILED, List.of(), "task 0.0.1 failed 3 times", 2_000));
             List<String> lines = answer("job explain a");
             assertEquals("job a of queue q on service clips: FAILED, task 0.0.1 failed 3 times", lines.get(0));
@@ -104,7 +104,7 @@
         }
 
         @Test
-        void saysThatItsCallerCancelledIt() {
+        void showsACancellationByItsCaller() {
             isOver(new JobProgress(JobState.CANCELLED, List.of(), "", 2_000));
             store.set(JobKeys.cancel("clips", A), A.toString());
             assertTrue(answer("job explain a").get(1).startsWith("over for 7000 ms, cancelled by its caller"));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -42,7 +42,7 @@
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.Workspaces;
 
-/** What a caller is told when a job is handed in. */
+/** Tests the answers that callers get when they submit, query and cancel jobs. */
 class JobIntakeTest {
 
     private static final String JOB = JobKeys.job("clips", new JobKey("q", "a"));
@@ -51,7 +51,7 @@
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
     private boolean reached = true;
     private final JobIntake intake = new JobIntake(store, loop, records, feed, () -> 0, () -> reached);
 
@@ -75,16 +75,16 @@
     }
 
     @Nested
-    class AJob {
+    class SubmittedJob {
 
         @Test
-        void isTakenOnceItIsInTheStore() {
+        void isAcceptedOnceStored() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(false, store.value(JOB).isEmpty());
         }
 
         @Test
-        void isOneHoweverOftenItIsHandedIn() {
+        void isStoredOnceDespiteRepeatedSubmissions() {
             submit();
             String first = store.value(JOB);
             assertEquals(SubmitOutcome.ACCEPTED, submit());
@@ -92,22 +92,22 @@
         }
 
         @Test
-        void isNotTakenAtOnceWhileTheStoreDoesNotAnswer() {
+        void isRefusedWhileTheStoreDoesNotAnswer() {
             reached = false;
             assertEquals(SubmitOutcome.NOT_TAKEN, submit());
-            assertEquals("", store.value(JOB), "nothing may be written that was refused");
+            assertEquals("", store.value(JOB), "a refused job must not be written");
         }
 
         @Test
-        void isNotSaidToBeRefusedWhenAnAnswerIsMissing() {
-            store.holdsCommits = true;
+        void isUnknownAfterAnUnansweredWrite() {
+            store.dropsCommitAnswers = true;
             assertEquals(SubmitOutcome.UNKNOWN, submit());
-            store.carryOutHeld();
-            assertEquals(false, store.value(JOB).isEmpty(), "the write came late");
+            store.applyDroppedCommits();
+            assertEquals(false, store.value(JOB).isEmpty(), "the write was applied late");
         }
 
         @Test
-        void isNotTakenForAQueueThatIsNotThere() {
+        void isRefusedForANonexistentQueue() {
             StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
             Submission s = new Submission("text", List.of(one), Repeat.ONCE);
             assertEquals(
@@ -122,23 +122,23 @@
     private final Admission admitted = new Admission(Admission.Outcome.ADMITTED, queue, null);
 
     @Nested
-    class AJobThatCanNotBeRead {
+    class UnreadableJob {
 
         private final JobKey job = new JobKey("q", "a");
 
         @Test
-        void hasNoStateThatIsTold() {
+        void hasAnUnknownState() {
             store.set(JOB, "{}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.setNoText(JobKeys.progress("clips", job));
+            store.setNonText(JobKeys.progress("clips", job));
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
             store.set(JobKeys.progress("clips", job), "{\"state\":\"DONE\"}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
         }
 
         @Test
-        void isNotTakenASecondTime() {
-            store.setNoText(JOB);
+        void isNotStoredTwice() {
+            store.setNonText(JOB);
             long commits = store.commits;
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(commits + 1, store.commits);
@@ -146,7 +146,7 @@
 
         @Test
         void mayBeCancelled() {
-            store.setNoText(JOB);
+            store.setNonText(JOB);
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -154,10 +154,10 @@
     }
 
     @Nested
-    class AReportThatCanNotBeRead {
+    class UnreadableReport {
 
         @Test
-        void isNotTakenForNothingWaiting() {
+        void isNotCountedAsZero() {
             store.set(JobKeys.owner("clips"), "entry");
             store.set(JobKeys.report("clips"), "{\"pendingByQueue\":7}");
             store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
@@ -165,9 +165,9 @@
         }
     }
 
-    /** Its record is small by then; what callers are told is the same. */
+    /** The stored record of a finished job is reduced; callers must get the same answers as before. */
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         @BeforeEach
         void end() {
@@ -177,20 +177,20 @@
         }
 
         @Test
-        void isNotTakenASecondTime() {
+        void isNotStoredTwice() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals("over", store.value(JOB));
         }
 
         @Test
-        void hasItsLastState() {
+        void keepsItsLastState() {
             assertEquals(
                     JobAnswer.of(JobState.COMPLETED),
                     intake.state(admitted, "a").join());
         }
 
         @Test
-        void mayStillBeCancelledAsBefore() {
+        void canStillBeCancelled() {
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -200,7 +200,7 @@
         }
 
         @Test
-        void isNotCountedAsWaitingThoughItsProgressIsNotSeen() {
+        void isNotCountedAsPendingWithoutItsProgress() {
             store.set(JobKeys.job("clips", new JobKey("q", "b")), "over");
             store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
@@ -208,7 +208,7 @@
     }
 
     @Nested
-    class AWorkspacesKey {
+    class WorkspaceKey {
 
         private void configure(long version, String... keys) {
             List<KeyDigest> digests = List.of(keys).stream().map(KeyDigest::of).toList();
@@ -255,7 +255,7 @@
         @Test
         void thatWasRevokedIsRefusedBeforeTheWatchReportsIt() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3);
             assertEquals(SubmitOutcome.UNKNOWN_KEY, submit("k1"));
         }
@@ -263,9 +263,9 @@
         @Test
         void thatWasJustAddedIsAccepted() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3, "k1", "k2");
-            loop.passes(1_000);
+            loop.advance(1_000);
             assertEquals(SubmitOutcome.ACCEPTED, submit("k2"));
         }
 
@@ -285,11 +285,14 @@
             assertEquals(JobAnswer.of(JobState.RUNNING), intake.state(own, "a").join());
         }
 
-        /** Guards against cancelling an ended job of another workspace, whose own record no longer names it. */
+        /**
+         * Guards against cancelling an ended job of another workspace, whose own record no longer names the
+         * workspace.
+         */
         @Test
         void givesNoAccessToEndedJobsOfOtherWorkspaces() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             store.set(JOB, JobSpec.OVER);
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0, "news");
             store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
@@ -337,10 +340,10 @@
         @Test
         void causesOneReadForConcurrentRequests() {
             configure(2, "k1");
-            store.tellWatches();
-            store.holdsReads = true;
+            store.notifyWatches();
+            store.dropsReads = true;
             long before = store.reads;
-            loop.passes(5_000);
+            loop.advance(5_000);
             for (int i = 0; i < 10; i++) {
                 var unused = intake.admit(request("k1"));
             }
@@ -349,20 +352,20 @@
     }
 
     @Nested
-    class CountsOfWaitingJobs {
+    class PendingJobCounts {
 
         private static final String REPORT =
                 "{\"pendingByQueue\":{\"q\":7},\"needed\":1,\"firm\":1,\"late\":0,\"workers\":[]}";
 
         @Test
-        void areTheOwnersOnceItHasToldThem() {
+        void comeFromTheOwnersReport() {
             store.set(JobKeys.owner("clips"), "entry-2");
             store.set(JobKeys.report("clips"), REPORT);
             assertEquals(7, intake.pending(queue).join().orElseThrow());
         }
 
         @Test
-        void areReadWhileANewOwnerHasToldNothing() {
+        void comeFromTheStoreBeforeANewOwnerReports() {
             store.set(JobKeys.report("clips"), REPORT);
             store.set(JobKeys.owner("clips"), "entry-2");
             store.set(JobKeys.job("clips", new JobKey("q", "a")), "a job that waits");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetersTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobMetricsTest.java
@@ -31,10 +31,10 @@
 import org.lupinpaddle.daemon.common.HttpListener;
 import org.lupinpaddle.daemon.common.MetricsEndpoint;
 
-/** The figures of an entry, as a scraper reads them. */
-class JobMetersTest {
+/** Tests the metrics of an entry as a scraper reads them. */
+class JobMetricsTest {
 
-    private final JobMeters meters = new JobMeters();
+    private final JobMetrics meters = new JobMetrics();
 
     private static SchedulerEvent event(SchedulerEvent.Kind kind, String outcome, long ageMillis) {
         return new SchedulerEvent(kind, new JobKey("clips", "a"), null, 0, "", outcome, "", ageMillis);
@@ -57,11 +57,11 @@
     class Scraped {
 
         @Test
-        void tellOutcomesAndTimes() throws Exception {
+        void containOutcomesAndTimes() throws Exception {
             meters.submitted(SubmitOutcome.ACCEPTED);
             meters.decided(event(SchedulerEvent.Kind.START_ANSWERED, "NO_ROOM", 0));
             meters.decided(event(SchedulerEvent.Kind.JOB_BEGUN, "", 120));
-            meters.held(OrderOutcome.UNKNOWN);
+            meters.holdAnswered(OrderOutcome.UNKNOWN);
             meters.storeCalled("commit", "CONFLICT", 7);
             meters.gauge("ready", () -> 1);
             String text = get("/metrics").body();
@@ -79,7 +79,7 @@
         }
 
         @Test
-        void areAtOnePathOnly() throws Exception {
+        void areServedAtOnePathOnly() throws Exception {
             assertEquals(404, get("/").statusCode());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/LeaseRenewalTest.java
@@ -22,22 +22,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** An entry's lease while the store leaves renewals unanswered. */
+/** Tests an entry's lease while the store leaves renewals unanswered. */
 class LeaseRenewalTest {
 
-    // As long as a renewal waits for its answer.
+    // The time limit of a renewal call.
     private static final long CALL_MILLIS = 500;
     private static final long STEP_MILLIS = 10;
     private static final long SETTLED_MILLIS = 2_000;
-    private static final long RENEWED_EVERY_MILLIS = 450;
-    // Longer than a lease, and than any that is lost here.
+    private static final long RENEWAL_INTERVAL_MILLIS = 450;
+    // Longer than a lease and than any sequence of lost renewals in these tests.
     private static final long LONG_MILLIS = 5_000;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
-    private final OwnershipKeeper keeper = new OwnershipKeeper(store, loop, "entry-1", 1, new NoDuties());
+    private final OwnershipManager manager = new OwnershipManager(store, loop, "entry-1", 1, new NoDuties());
 
-    private static final class NoDuties implements OwnershipKeeper.Listener {
+    private static final class NoDuties implements OwnershipManager.Listener {
 
         @Override
         public void won(String duty, long fence) {}
@@ -47,50 +47,50 @@
     }
 
     @BeforeEach
-    void aLeaseIsOpen() {
-        keeper.start();
-        passes(SETTLED_MILLIS);
+    void openLease() {
+        manager.start();
+        advance(SETTLED_MILLIS);
     }
 
-    /** Lets time pass and returns whether the lease has lived all the while. */
-    private boolean passes(long millis) {
-        boolean lived = true;
+    /** Advances the time and returns whether the lease was alive throughout. */
+    private boolean advance(long millis) {
+        boolean alive = true;
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
             while (!store.lostRenewals.isEmpty()) {
                 var lost = store.lostRenewals.remove();
                 loop.after(CALL_MILLIS, () -> lost.completeExceptionally(new TimeoutException()));
             }
-            loop.passes(STEP_MILLIS);
-            lived &= keeper.reachesStore();
+            loop.advance(STEP_MILLIS);
+            alive &= manager.reachesStore();
         }
-        return lived;
+        return alive;
     }
 
     @Test
-    void livesThroughOneLostRenewal() {
+    void survivesOneLostRenewal() {
         store.renewalsToLose = 1;
-        assertTrue(passes(LONG_MILLIS));
+        assertTrue(advance(LONG_MILLIS));
     }
 
     @Test
-    void livesThroughThreeLostRenewalsInARow() {
+    void survivesThreeConsecutiveLostRenewals() {
         store.renewalsToLose = 3;
-        assertTrue(passes(LONG_MILLIS), "there is time for a fourth before it ends");
+        assertTrue(advance(LONG_MILLIS), "a fourth renewal fits in before the lease expires");
     }
 
     @Test
-    void goesOnAfterTheStoreWasAway() {
+    void recoversAfterAStoreOutage() {
         store.renewalsToLose = Integer.MAX_VALUE;
-        assertFalse(passes(LONG_MILLIS));
+        assertFalse(advance(LONG_MILLIS));
         store.renewalsToLose = 0;
-        passes(SETTLED_MILLIS);
-        assertTrue(passes(LONG_MILLIS));
+        advance(SETTLED_MILLIS);
+        assertTrue(advance(LONG_MILLIS));
     }
 
     @Test
-    void isRenewedAFewTimesPerLeaseWhileAllIsWell() {
+    void isRenewedNoMoreOftenThanNecessary() {
         int before = store.renewals;
-        assertTrue(passes(LONG_MILLIS));
-        assertTrue(store.renewals - before <= LONG_MILLIS / RENEWED_EVERY_MILLIS + 1);
+        assertTrue(advance(LONG_MILLIS));
+        assertTrue(store.renewals - before <= LONG_MILLIS / RENEWAL_INTERVAL_MILLIS + 1);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MembersTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -24,54 +24,54 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
 
-/** What is concluded from records of members, also where another writer has put something into their place. */
-class MembersTest {
+/** Tests the conclusions drawn from member records, including records replaced by another writer. */
+class MemberRegistryTest {
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final PrefixWatch watch =
-            new PrefixWatch(store, loop, JobKeys.MEMBERS, PrefixWatch.Listener.same(() -> {}));
-    private final Members members = new Members(watch, loop.clock(), "self", 500);
-    private final String life = Members.newLife("other");
+            new PrefixWatch(store, loop, JobKeys.MEMBERS, PrefixWatch.Listener.forAnyChange(() -> {}));
+    private final MemberRegistry members = new MemberRegistry(watch, loop.clock(), "self", 500);
+    private final String life = MemberRegistry.newLife("other");
 
-    private boolean isOver(String registered) {
+    private boolean isEndedBy(String registered) {
         store.set(JobKeys.entry("other"), registered);
-        return read();
+        return isEnded();
     }
 
-    private boolean read() {
+    private boolean isEnded() {
         watch.start();
-        loop.passes(1);
-        return members.isOver(life, Members.newLife("self"));
+        loop.advance(1);
+        return members.hasEnded(life, MemberRegistry.newLife("self"));
     }
 
     @Nested
-    class ALife {
+    class Life {
 
         @Test
-        void isOverOnceItsEntryIsRegisteredWithAnother() {
-            assertFalse(isOver(life));
-            assertTrue(isOver(Members.newLife("other")));
+        void endsOnceItsEntryRegistersAnother() {
+            assertFalse(isEndedBy(life));
+            assertTrue(isEndedBy(MemberRegistry.newLife("other")));
         }
 
         @Test
-        void isNotOverByWhatNamesNoLifeOfItsEntry() {
-            assertFalse(isOver(""));
-            assertFalse(isOver("{}"));
-            assertFalse(isOver(Members.newLife("third")));
-            store.setNoText(JobKeys.entry("other"));
-            assertFalse(read());
+        void isNotEndedByAnInvalidRegistration() {
+            assertFalse(isEndedBy(""));
+            assertFalse(isEndedBy("{}"));
+            assertFalse(isEndedBy(MemberRegistry.newLife("third")));
+            store.setNonText(JobKeys.entry("other"));
+            assertFalse(isEnded());
         }
     }
 
     @Nested
-    class ADuty {
+    class Duty {
 
         @Test
-        void isOwnedAlsoWhereItsOwnerCanNotBeRead() {
-            store.setNoText(JobKeys.owner("clips"));
+        void isOwnedEvenIfItsOwnerIsUnreadable() {
+            store.setNonText(JobKeys.owner("clips"));
             store.set(JobKeys.owner("archive"), "");
-            read();
+            isEnded();
             assertEquals(Set.of("clips", "archive"), members.owners().keySet());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipKeeperTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
@@ -25,18 +25,18 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKeys;
 
-/** A duty is held under one fence from its taking to its end, and under a greater one after that. */
-class OwnershipKeeperTest {
+/** Tests that a duty is held under one fence from its acquisition to its end, and under a greater one after that. */
+class OwnershipManagerTest {
 
     private static final long SOON_MILLIS = 3_000;
-    private static final long TELL_MILLIS = 50;
+    private static final long STEP_MILLIS = 50;
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Long> fences = new ArrayList<>();
-    private final OwnershipKeeper keeper = new OwnershipKeeper(store, loop, "entry", 1_000, new Listener());
+    private final OwnershipManager manager = new OwnershipManager(store, loop, "entry", 1_000, new Listener());
 
-    private final class Listener implements OwnershipKeeper.Listener {
+    private final class Listener implements OwnershipManager.Listener {
         @Override
         public void won(String duty, long fence) {
             fences.add(fence);
@@ -46,30 +46,30 @@
         public void lost(String duty, String why) {}
     }
 
-    private void passes(long millis) {
-        for (long left = millis; left > 0; left -= TELL_MILLIS) {
-            loop.passes(TELL_MILLIS);
-            store.tellWatches();
+    private void advance(long millis) {
+        for (long left = millis; left > 0; left -= STEP_MILLIS) {
+            loop.advance(STEP_MILLIS);
+            store.notifyWatches();
         }
     }
 
-    private void ownsClips() {
-        keeper.start();
-        keeper.setDuties(Set.of("clips"));
-        passes(SOON_MILLIS);
+    private void acquireClips() {
+        manager.start();
+        manager.setDuties(Set.of("clips"));
+        advance(SOON_MILLIS);
         assertEquals(1, fences.size());
     }
 
-    /** The store still says that the duty is this entry's, after it has given it up. */
+    /** The store still shows this entry as the owner after it has given up the duty. */
     @Nested
-    class ADutyThatIsTakenUpAgain {
+    class ReacquiredDuty {
 
-        /** Orders and writes of its first time may still be under way, and must meet a greater fence. */
+        /** Orders and writes with the first fence may still be in flight and must meet a greater one. */
         @Test
         void hasAGreaterFence() {
-            ownsClips();
-            keeper.giveUp("clips", fences.get(0), "a worker refused an order");
-            passes(SOON_MILLIS);
+            acquireClips();
+            manager.giveUp("clips", fences.get(0), "a worker refused an order");
+            advance(SOON_MILLIS);
             assertEquals(2, fences.size());
             assertTrue(fences.get(1) > fences.get(0));
             assertEquals(
@@ -78,28 +78,28 @@
         }
 
         @Test
-        void isTakenOverByNobodyElseMeanwhile() {
-            ownsClips();
-            keeper.giveUp("clips", fences.get(0), "a worker refused an order");
+        void isNotAcquiredIfAnotherEntryOwnsIt() {
+            acquireClips();
+            manager.giveUp("clips", fences.get(0), "a worker refused an order");
             store.set(JobKeys.owner("clips"), "another entry");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(1, fences.size());
         }
     }
 
     @Nested
-    class ADutyWhoseTakingGotNoAnswer {
+    class UnansweredAcquisition {
 
         @Test
-        void isWonWithTheRevisionOfThatWrite() {
-            keeper.start();
-            passes(SOON_MILLIS);
-            store.holdsCommits = true;
-            keeper.setDuties(Set.of("clips"));
-            passes(150);
-            store.holdsCommits = false;
-            store.carryOutHeld();
-            passes(SOON_MILLIS);
+        void isWonWithTheRevisionOfTheWrite() {
+            manager.start();
+            advance(SOON_MILLIS);
+            store.dropsCommitAnswers = true;
+            manager.setDuties(Set.of("clips"));
+            advance(150);
+            store.dropsCommitAnswers = false;
+            store.applyDroppedCommits();
+            advance(SOON_MILLIS);
             assertEquals(
                     List.of(store.read(JobKeys.owner("clips"))
                             .join()
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -52,12 +52,12 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
-/** What the owner of a service leaves in the store, which is what its successor has to read. */
+/** Tests the records that the owner of a service leaves in the store for its successor to read. */
 class SchedulerHostTest {
 
-    // As long as a text may well be; the steps come on top.
+    // A realistic length of a job's text; the steps are added to it.
     private static final String TEXT = "x".repeat(2_000);
-    private static final String SMALL = "over";
+    private static final String REDUCED = "over";
     private static final long INHERITED_MILLIS = 7_000;
     private static final long SOON_MILLIS = 3_000;
     private static final long KEPT_MILLIS = 130_000;
@@ -68,7 +68,7 @@
     private SchedulerHost owner() {
         long fence = store.set(JobKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, INHERITED_MILLIS, 2_000, 10_000);
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
+        SchedulerHost.Context context = new SchedulerHost.Context(
                 store,
                 new NoWorkers(),
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -77,12 +77,12 @@
                 () -> true,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
         WorkerFeed workers =
-                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMeters()), () -> {});
-        SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
+                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
+        SchedulerHost host = new SchedulerHost(context, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
     }
@@ -102,10 +102,10 @@
         store.set(JobKeys.cancel("clips", key(id)), id);
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
-            loop.passes(50);
-            store.tellWatches();
+            loop.advance(50);
+            store.notifyWatches();
         }
     }
 
@@ -118,168 +118,168 @@
         return store.value(JobKeys.job("clips", key(id)));
     }
 
-    private List<StoreItem> readByASuccessor() {
+    private List<StoreItem> recordsReadBySuccessor() {
         return Stream.of(JobKeys.inputs("clips"), JobKeys.progress("clips"))
                 .flatMap(p -> store.range(p).join().items().stream())
                 .toList();
     }
 
-    private int bytesReadByASuccessor() {
-        return readByASuccessor().stream()
+    private int bytesReadBySuccessor() {
+        return recordsReadBySuccessor().stream()
                 .mapToInt(i -> (i.key() + i.value()).getBytes(StandardCharsets.UTF_8).length)
                 .sum();
     }
 
     @Nested
-    class ATakeOver {
+    class TakeOver {
 
         private static final int JOBS = 200;
         private static final int MOST_BYTES_A_JOB = 250;
 
         @Test
-        void readsLittleOfJobsThatAreOver() {
+        void readsLittleOfFinishedJobs() {
             for (int i = 0; i < JOBS; i++) {
                 accept("job-" + i);
                 cancel("job-" + i);
             }
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             for (int i = 0; i < JOBS; i++) {
                 assertTrue(progress("job-" + i).over());
             }
-            int bytes = bytesReadByASuccessor();
-            assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " jobs that are over");
+            int bytes = bytesReadBySuccessor();
+            assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " finished jobs");
         }
 
         @Test
-        void readsAllOfAJobThatIsLive() {
+        void readsAllOfAnUnfinishedJob() {
             accept("live");
             String whole = record("live");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("live"));
         }
 
         @Test
-        void makesNoJobOfASmallRecord() {
+        void createsNoJobFromAReducedRecord() {
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             first.close();
             String last = store.value(JobKeys.progress("clips", key("a")));
-            store.set(JobKeys.job("clips", key("lonely")), SMALL);
+            store.set(JobKeys.job("clips", key("lonely")), REDUCED);
             cancel("lonely");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(last, store.value(JobKeys.progress("clips", key("a"))));
             assertEquals("", store.value(JobKeys.progress("clips", key("lonely"))));
         }
 
         @Test
-        void forgetsWhatItsPredecessorLeftOfJobsThatAreOver() {
+        void removesFinishedJobsOfItsPredecessor() {
             accept("a");
             cancel("a");
             SchedulerHost first = owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             first.close();
             owner();
-            passes(KEPT_MILLIS - SOON_MILLIS);
-            assertEquals(3, readByASuccessor().size(), "callers may still ask");
-            passes(4 * SOON_MILLIS);
-            assertEquals(List.of(), readByASuccessor());
+            advance(KEPT_MILLIS - SOON_MILLIS);
+            assertEquals(3, recordsReadBySuccessor().size(), "callers may still ask");
+            advance(4 * SOON_MILLIS);
+            assertEquals(List.of(), recordsReadBySuccessor());
         }
     }
 
     @Nested
-    class ARecordThatCanNotBeRead {
+    class UnreadableRecord {
 
-        private void keepsAllAsItIs() {
-            List<StoreItem> before = readByASuccessor();
+        private void assertNothingIsChanged() {
+            List<StoreItem> before = recordsReadBySuccessor();
             owner();
-            passes(SOON_MILLIS);
-            passes(2 * INHERITED_MILLIS);
-            assertEquals(Set.copyOf(before), Set.copyOf(readByASuccessor()));
+            advance(SOON_MILLIS);
+            advance(2 * INHERITED_MILLIS);
+            assertEquals(Set.copyOf(before), Set.copyOf(recordsReadBySuccessor()));
         }
 
         @Test
-        void ofProgressIsNeitherTakenForNoneNorOverwritten() {
+        void ofProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
             store.set(JobKeys.progress("clips", key("a")), "{\"state\":\"HALF_DONE\"}");
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
-        void ofBytesIsNeitherTakenForNoneNorOverwritten() {
+        void ofNonTextProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
-            store.setNoText(JobKeys.progress("clips", key("a")));
-            keepsAllAsItIs();
+            store.setNonText(JobKeys.progress("clips", key("a")));
+            assertNothingIsChanged();
         }
 
         @Test
         void ofAJobIsNotOverwritten() {
             store.set(JobKeys.job("clips", key("a")), "{\"key\":3}");
-            store.setNoText(JobKeys.job("clips", key("b")));
-            keepsAllAsItIs();
+            store.setNonText(JobKeys.job("clips", key("b")));
+            assertNothingIsChanged();
         }
 
         @Test
-        void ofAJobUnderAnotherKeyIsNotTaken() {
+        void ofAJobUnderAnotherKeyIsIgnored() {
             accept("a");
             store.set(JobKeys.job("clips", key("b")), record("a"));
             store.remove(JobKeys.job("clips", key("a")));
-            keepsAllAsItIs();
+            assertNothingIsChanged();
         }
 
         @Test
-        void holdsUpNoOtherJob() {
+        void doesNotBlockOtherJobs() {
             accept("a");
             accept("b");
-            store.setNoText(JobKeys.progress("clips", key("a")));
+            store.setNonText(JobKeys.progress("clips", key("a")));
             cancel("b");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertTrue(progress("b").over());
         }
 
         @Test
-        void thatIsMendedLaterIsTakenWithItsProgress() {
+        void isUsedWithItsProgressOnceReadable() {
             accept("a");
             String good = record("a");
             JobProgress done =
                     new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 1, false, "", "")), "", 0);
             store.set(JobKeys.progress("clips", key("a")), RecordCodec.write(done));
-            store.setNoText(JobKeys.job("clips", key("a")));
+            store.setNonText(JobKeys.job("clips", key("a")));
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.set(JobKeys.job("clips", key("a")), good);
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             cancel("a");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertTrue(progress("a").over());
         }
     }
 
     @Nested
-    class TheRecordOfAJob {
+    class StoredJobRecord {
 
         @Test
-        void isSmallInTheSameWriteThatSaysThatTheJobIsOver() {
+        void isReducedInTheCommitThatFinishesTheJob() {
             accept("a");
             owner();
-            passes(SOON_MILLIS);
-            store.holdsCommits = true;
+            advance(SOON_MILLIS);
+            store.dropsCommitAnswers = true;
             cancel("a");
-            passes(100);
-            assertFalse(record("a").equals(SMALL));
-            store.holdsCommits = false;
-            passes(SOON_MILLIS);
+            advance(100);
+            assertFalse(record("a").equals(REDUCED));
+            store.dropsCommitAnswers = false;
+            advance(SOON_MILLIS);
             assertTrue(progress("a").over());
-            assertEquals(SMALL, record("a"));
+            assertEquals(REDUCED, record("a"));
         }
 
         @Test
-        void isWholeUntilTheTasksOfAnEndedJobAreOffTheirWorkers() {
+        void staysCompleteUntilTheTasksOfAnEndedJobAreStopped() {
             accept("a");
             String whole = record("a");
             TaskRecord held = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "");
@@ -287,39 +287,39 @@
                     JobKeys.progress("clips", key("a")),
                     RecordCodec.write(new JobProgress(JobState.CANCELLED, List.of(held), "", 0)));
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
             assertFalse(progress("a").over());
-            passes(2 * INHERITED_MILLIS);
+            advance(2 * INHERITED_MILLIS);
             assertTrue(progress("a").over());
-            assertEquals(SMALL, record("a"));
+            assertEquals(REDUCED, record("a"));
         }
 
         @Test
-        void isLeftAloneByAnOwnerThatIsNoneAnyMore() {
+        void isNotChangedByAFormerOwner() {
             accept("a");
             String whole = record("a");
             owner();
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             store.set(JobKeys.owner("clips"), "another entry");
             cancel("a");
-            passes(SOON_MILLIS);
+            advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
         }
 
         @Test
-        void isRemovedWithAllElseAWhileAfterTheEnd() {
+        void isRemovedAfterTheRetentionTime() {
             accept("a");
             cancel("a");
             owner();
-            passes(KEPT_MILLIS - SOON_MILLIS);
-            assertEquals(3, readByASuccessor().size(), "callers may still ask");
-            passes(4 * SOON_MILLIS);
-            assertEquals(List.of(), readByASuccessor());
+            advance(KEPT_MILLIS - SOON_MILLIS);
+            assertEquals(3, recordsReadBySuccessor().size(), "callers may still ask");
+            advance(4 * SOON_MILLIS);
+            assertEquals(List.of(), recordsReadBySuccessor());
         }
     }
 
-    /** No worker is listed, and none answers. */
+    /** Workers that never answer. */
     private static final class NoWorkers implements WorkerOrders {
         private static final CompletableFuture<OrderOutcome> SILENCE =
                 CompletableFuture.completedFuture(OrderOutcome.UNKNOWN);
@@ -345,7 +345,7 @@
         }
     }
 
-    /** The list of instances is empty. */
+    /** An empty list of instances. */
     private static final class NoInstances implements InstanceOrders {
         @Override
         public CompletableFuture<InstanceList> list() {
