--- a/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
@@ -152,7 +152,7 @@
         gauge("requests.open", () -> callers.openCount());
         gauge("slots.waiting", slots::queueLength);
         gauge("slots.granted", slots::grantsInUse);
-        gauge("claims.unsettled", claims::unsettledCount);
+        gauge("claims.unsettled", claims::pendingReleaseCount);
         gauge("config.revision", () -> (int) config.view().contentRevision());
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
@@ -133,7 +133,7 @@
         if (action instanceof RequestAction.TakeClaim) {
             takeClaim();
         } else if (action instanceof RequestAction.SettleClaim) {
-            services.claims().settle(request.service(), jobId(), claimId);
+            services.claims().release(request.service(), jobId(), claimId);
         } else if (action instanceof RequestAction.AskSlot a) {
             askSlot(a);
         } else if (action instanceof RequestAction.CancelAsk) {
@@ -155,7 +155,7 @@
 
     private void takeClaim() {
         Span hop = services.traces().hop(span, request.id(), "claim", SpanKind.CLIENT);
-        services.claims().take(request.service(), jobId(), claimId, result -> {
+        services.claims().acquire(request.service(), jobId(), claimId, result -> {
             hop.setAttribute("claim.result", result.name());
             hop.end();
             on(new RequestEvent.ClaimAnswered(result));
--- a/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimKeeper.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimKeeper.java
@@ -41,21 +41,21 @@
 public final class ClaimKeeper {
 
     private static final long LEASE_SECONDS = 172_800;
-    private static final long LEASE_SHARED_MILLIS = 86_400_000;
+    private static final long LEASE_REUSE_MILLIS = 86_400_000;
     // A caller waits for the claim: the store must answer within this or the job is refused.
-    private static final long PATIENCE_MILLIS = 1_000;
-    private static final long SETTLE_RETRY_MILLIS = 2_000;
-    private static final int MOST_UNSETTLED = 10_000;
+    private static final long CLAIM_TIMEOUT_MILLIS = 1_000;
+    private static final long RELEASE_RETRY_MILLIS = 2_000;
+    private static final int MAX_PENDING_RELEASES = 10_000;
 
     private final Platform platform;
     private final StoreWriter writer;
     private final EventLoop loop;
     private final String self;
     private final BooleanSupplier platformOk;
-    private final Deque<Unsettled> unsettled = new ArrayDeque<>();
+    private final Deque<PendingRelease> pendingReleases = new ArrayDeque<>();
     private long lease;
-    private long leaseMadeAt;
-    private boolean settling;
+    private long leaseGrantedAt;
+    private boolean releasing;
 
     /** Makes the keeper of an entry; {@code platformOk} says whether the store has answered lately. */
     public ClaimKeeper(Platform platform, StoreWriter writer, EventLoop loop, String self, BooleanSupplier platformOk) {
@@ -66,14 +66,14 @@
         this.platformOk = platformOk;
     }
 
-    private record Unsettled(String key, String claimId) {}
+    private record PendingRelease(String key, String claimId) {}
 
     /**
      * Takes the claim on a job; the result is given on the loop.
      *
      * @param claimId made anew for each try by this entry: what a caller sends could come twice
      */
-    public void take(String service, String jobId, String claimId, Consumer<ClaimResult> onResult) {
+    public void acquire(String service, String jobId, String claimId, Consumer<ClaimResult> onResult) {
         if (!platformOk.getAsBoolean()) {
             onResult.accept(ClaimResult.UNKNOWN);
             return;
@@ -82,10 +82,10 @@
         withLease(id -> create(key, claimId, 0, id, onResult), () -> onResult.accept(ClaimResult.UNKNOWN));
     }
 
-    private void withLease(Consumer<Long> use, Runnable onFailure) {
+    private void withLease(Consumer<Long> action, Runnable onFailure) {
         long now = loop.clock().millis();
-        if (lease != 0 && now - leaseMadeAt < LEASE_SHARED_MILLIS) {
-            use.accept(lease);
+        if (lease != 0 && now - leaseGrantedAt < LEASE_REUSE_MILLIS) {
+            action.accept(lease);
             return;
         }
         var unused = platform.grantLease(LEASE_SECONDS)
@@ -94,21 +94,21 @@
                         onFailure.run();
                     } else {
                         lease = id;
-                        leaseMadeAt = now;
-                        use.accept(id);
+                        leaseGrantedAt = now;
+                        action.accept(id);
                     }
                 }));
     }
 
     private void create(String key, String claimId, long expected, long leaseId, Consumer<ClaimResult> onResult) {
         String value = RecordCodec.write(new ClaimRecord(claimId, self, false));
-        writer.write(new Swap(key, value, expected, leaseId), claimId, PATIENCE_MILLIS, result -> {
+        writer.write(new Swap(key, value, expected, leaseId), claimId, CLAIM_TIMEOUT_MILLIS, result -> {
             switch (result.fate()) {
                 case ACCEPTED -> onResult.accept(ClaimResult.WON);
                 case UNKNOWN -> onResult.accept(ClaimResult.UNKNOWN);
                 case REFUSED -> {
                     if (expected == 0) {
-                        takeOver(key, claimId, leaseId, onResult);
+                        takeOverIfNotRun(key, claimId, leaseId, onResult);
                     } else {
                         onResult.accept(ClaimResult.HELD);
                     }
@@ -117,15 +117,15 @@
         });
     }
 
-    private void takeOver(String key, String claimId, long leaseId, Consumer<ClaimResult> onResult) {
+    private void takeOverIfNotRun(String key, String claimId, long leaseId, Consumer<ClaimResult> onResult) {
         read(
                 key,
-                held -> {
-                    boolean free = RecordCodec.read(held.value(), ClaimRecord.class)
+                existing -> {
+                    boolean free = RecordCodec.read(existing.value(), ClaimRecord.class)
                             .map(ClaimRecord::notRun)
                             .getOrElse(false);
                     if (free) {
-                        create(key, claimId, held.revision(), leaseId, onResult);
+                        create(key, claimId, existing.revision(), leaseId, onResult);
                     } else {
                         onResult.accept(ClaimResult.HELD);
                     }
@@ -133,80 +133,81 @@
                 () -> onResult.accept(ClaimResult.HELD));
     }
 
-    private void read(String key, Consumer<StoredRecord> use, Runnable onFailure) {
+    private void read(String key, Consumer<StoredRecord> action, Runnable onFailure) {
         var unused = platform.range(key, 0)
-                .whenComplete((r, failure) -> loop.execute(() -> {
+                .whenComplete((range, failure) -> loop.execute(() -> {
                     List<StoredRecord> found = failure != null
                             ? List.of()
-                            : r.records().stream()
-                                    .filter(x -> x.key().equals(key))
+                            : range.records().stream()
+                                    .filter(record -> record.key().equals(key))
                                     .toList();
                     if (found.isEmpty()) {
                         onFailure.run();
                     } else {
-                        use.accept(found.get(0));
+                        action.accept(found.get(0));
                     }
                 }));
     }
 
     /** Marks a claim as not run, now or when the store is back. */
-    public void settle(String service, String jobId, String claimId) {
-        if (unsettled.size() >= MOST_UNSETTLED) {
+    public void release(String service, String jobId, String claimId) {
+        if (pendingReleases.size() >= MAX_PENDING_RELEASES) {
             Log.warn("claim-left", "job", jobId, "why", "too many claims wait for the store");
             return;
         }
-        unsettled.add(new Unsettled(StoreKeys.claim(service, jobId), claimId));
-        settleNext();
+        pendingReleases.add(new PendingRelease(StoreKeys.claim(service, jobId), claimId));
+        releaseNext();
     }
 
     /** Returns how many claims wait to be marked as not run. */
-    public int unsettledCount() {
-        return unsettled.size();
+    public int pendingReleaseCount() {
+        return pendingReleases.size();
     }
 
     // One at a time: after an outage the claims of many entries come back as a trickle, not as a burst.
-    private void settleNext() {
-        Unsettled next = unsettled.peek();
-        if (settling || next == null) {
+    private void releaseNext() {
+        PendingRelease next = pendingReleases.peek();
+        if (releasing || next == null) {
             return;
         }
-        settling = true;
+        releasing = true;
         var unused = platform.range(next.key, 0)
-                .whenComplete((r, failure) -> loop.execute(() -> {
+                .whenComplete((range, failure) -> loop.execute(() -> {
                     if (failure != null) {
-                        settleLater();
+                        retryReleaseLater();
                         return;
                     }
-                    r.records().stream()
-                            .filter(x -> x.key().equals(next.key) && x.value().contains(next.claimId))
+                    range.records().stream()
+                            .filter(record -> record.key().equals(next.key)
+                                    && record.value().contains(next.claimId))
                             .findFirst()
-                            .ifPresentOrElse(held -> markNotRun(next, held), this::settled);
+                            .ifPresentOrElse(existing -> markNotRun(next, existing), this::onReleased);
                 }));
     }
 
-    private void markNotRun(Unsettled next, StoredRecord held) {
-        String value = RecordCodec.write(new ClaimRecord(next.claimId, self, false).settled());
+    private void markNotRun(PendingRelease next, StoredRecord existing) {
+        String value = RecordCodec.write(new ClaimRecord(next.claimId, self, false).released());
         withLease(
-                id -> writer.write(new Swap(next.key, value, held.revision(), id), "\"notRun\":true", result -> {
+                id -> writer.write(new Swap(next.key, value, existing.revision(), id), "\"notRun\":true", result -> {
                     if (result.fate() == WriteResult.Fate.UNKNOWN) {
-                        settleLater();
+                        retryReleaseLater();
                     } else {
-                        settled();
+                        onReleased();
                     }
                 }),
-                this::settleLater);
+                this::retryReleaseLater);
     }
 
-    private void settled() {
-        unsettled.poll();
-        settling = false;
-        settleNext();
+    private void onReleased() {
+        pendingReleases.poll();
+        releasing = false;
+        releaseNext();
     }
 
-    private void settleLater() {
-        loop.after(SETTLE_RETRY_MILLIS, () -> {
-            settling = false;
-            settleNext();
+    private void retryReleaseLater() {
+        loop.after(RELEASE_RETRY_MILLIS, () -> {
+            releasing = false;
+            releaseNext();
         });
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimRecord.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimRecord.java
@@ -25,7 +25,7 @@
 public record ClaimRecord(String writeId, String entry, boolean notRun) {
 
     /** Returns the claim given back. */
-    public ClaimRecord settled() {
+    public ClaimRecord released() {
         return new ClaimRecord(writeId, entry, true);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
@@ -37,9 +37,9 @@
     private SlotFrames() {}
 
     static Frame encode(SlotMessage message) {
-        Frame.Builder f = Frame.newBuilder();
+        Frame.Builder frame = Frame.newBuilder();
         if (message instanceof SlotMessage.Ask m) {
-            f.setSlotAsk(SlotAsk.newBuilder()
+            frame.setSlotAsk(SlotAsk.newBuilder()
                     .setService(m.service())
                     .setAsk(m.ask())
                     .setUrgency(m.urgency().ordinal())
@@ -49,56 +49,58 @@
                     .addAllAvoid(m.avoid())
                     .setMemoryMb(m.memoryMb()));
         } else if (message instanceof SlotMessage.Cancel m) {
-            f.setSlotCancel(SlotCancel.newBuilder().setService(m.service()).setAsk(m.ask()));
+            frame.setSlotCancel(SlotCancel.newBuilder().setService(m.service()).setAsk(m.ask()));
         } else if (message instanceof SlotMessage.Release m) {
-            f.setSlotRelease(SlotRelease.newBuilder()
+            frame.setSlotRelease(SlotRelease.newBuilder()
                     .setService(m.service())
                     .setGrant(Grant.newBuilder().setId(m.grant()).setWorker(m.worker()))
                     .setOutcome(m.outcome().ordinal()));
         } else if (message instanceof SlotMessage.InUse m) {
             SlotsInUse.Builder b = SlotsInUse.newBuilder().setService(m.service());
             m.grants().forEach(g -> b.addGrants(encode(g)));
-            f.setSlotsInUse(b);
+            frame.setSlotsInUse(b);
         } else if (message instanceof SlotMessage.Queued m) {
-            f.setSlotQueued(SlotQueued.newBuilder().setService(m.service()).setAsk(m.ask()));
+            frame.setSlotQueued(SlotQueued.newBuilder().setService(m.service()).setAsk(m.ask()));
         } else if (message instanceof SlotMessage.Granted m) {
-            f.setSlotGranted(SlotGranted.newBuilder()
+            frame.setSlotGranted(SlotGranted.newBuilder()
                     .setService(m.service())
                     .setAsk(m.ask())
                     .setGrant(encode(m.grant())));
         } else if (message instanceof SlotMessage.Refused m) {
-            f.setSlotRefused(SlotRefused.newBuilder()
+            frame.setSlotRefused(SlotRefused.newBuilder()
                     .setService(m.service())
                     .setAsk(m.ask())
                     .setReason(m.reason().ordinal())
                     .setComeBackMillis(m.comeBackMillis()));
         }
-        return f.build();
+        return frame.build();
     }
 
     /** Returns the message in a frame, or null where the frame holds none of ours. */
-    static @Nullable SlotMessage decode(Frame f) {
-        return switch (f.getBodyCase()) {
-            case SLOT_ASK -> decode(f.getSlotAsk());
+    static @Nullable SlotMessage decode(Frame frame) {
+        return switch (frame.getBodyCase()) {
+            case SLOT_ASK -> decode(frame.getSlotAsk());
             case SLOT_CANCEL ->
                 new SlotMessage.Cancel(
-                        f.getSlotCancel().getService(), f.getSlotCancel().getAsk());
-            case SLOT_RELEASE -> decode(f.getSlotRelease());
+                        frame.getSlotCancel().getService(),
+                        frame.getSlotCancel().getAsk());
+            case SLOT_RELEASE -> decode(frame.getSlotRelease());
             case SLOTS_IN_USE ->
                 new SlotMessage.InUse(
-                        f.getSlotsInUse().getService(),
-                        f.getSlotsInUse().getGrantsList().stream()
+                        frame.getSlotsInUse().getService(),
+                        frame.getSlotsInUse().getGrantsList().stream()
                                 .map(SlotFrames::decode)
                                 .toList());
             case SLOT_QUEUED ->
                 new SlotMessage.Queued(
-                        f.getSlotQueued().getService(), f.getSlotQueued().getAsk());
+                        frame.getSlotQueued().getService(),
+                        frame.getSlotQueued().getAsk());
             case SLOT_GRANTED ->
                 new SlotMessage.Granted(
-                        f.getSlotGranted().getService(),
-                        f.getSlotGranted().getAsk(),
-                        decode(f.getSlotGranted().getGrant()));
-            case SLOT_REFUSED -> decode(f.getSlotRefused());
+                        frame.getSlotGranted().getService(),
+                        frame.getSlotGranted().getAsk(),
+                        decode(frame.getSlotGranted().getGrant()));
+            case SLOT_REFUSED -> decode(frame.getSlotRefused());
             default -> null;
         };
     }
@@ -107,7 +109,7 @@
         return new SlotMessage.Ask(
                 m.getService(),
                 m.getAsk(),
-                at(Urgency.values(), m.getUrgency(), Urgency.NORMAL),
+                byOrdinal(Urgency.values(), m.getUrgency(), Urgency.NORMAL),
                 m.getWaitedMillis(),
                 m.getRemainingMillis(),
                 m.getHall(),
@@ -120,14 +122,14 @@
                 m.getService(),
                 m.getGrant().getId(),
                 m.getGrant().getWorker(),
-                at(AttemptOutcome.values(), m.getOutcome(), AttemptOutcome.UNUSED));
+                byOrdinal(AttemptOutcome.values(), m.getOutcome(), AttemptOutcome.UNUSED));
     }
 
     private static SlotMessage decode(SlotRefused m) {
         return new SlotMessage.Refused(
                 m.getService(),
                 m.getAsk(),
-                at(GiveUpReason.values(), m.getReason(), GiveUpReason.SHED),
+                byOrdinal(GiveUpReason.values(), m.getReason(), GiveUpReason.SHED),
                 m.getComeBackMillis());
     }
 
@@ -140,7 +142,7 @@
     }
 
     // A newer version may send a value that this one does not know.
-    private static <T> T at(T[] values, int ordinal, T otherwise) {
-        return ordinal >= 0 && ordinal < values.length ? values[ordinal] : otherwise;
+    private static <T> T byOrdinal(T[] values, int ordinal, T defaultValue) {
+        return ordinal >= 0 && ordinal < values.length ? values[ordinal] : defaultValue;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
@@ -45,15 +45,15 @@
 public final class SlotHost {
 
     private final String self;
-    private final int queuePlaces;
+    private final int queueCapacity;
     private final Clock clock;
     private final MetricRegistry metrics;
-    private final Function<String, List<WorkerInfo>> workersOf;
+    private final Function<String, List<WorkerInfo>> workersByService;
     private final BiConsumer<String, Frame> sender;
     private final SlotDesk desk;
     private final SplittableRandom random = new SplittableRandom();
     private final Map<String, SlotOwner> owners = new TreeMap<>();
-    private final Map<Long, SlotReplies> waiting = new HashMap<>();
+    private final Map<Long, SlotReplyListener> pendingAsks = new HashMap<>();
     private final Deque<Outgoing> outbox = new ArrayDeque<>();
     private Set<String> reachable = Set.of();
     private boolean delivering;
@@ -61,38 +61,38 @@
     /**
      * Makes the host of an entry.
      *
-     * @param workersOf gives the workers of a service as now known
+     * @param workersByService gives the workers of a service as now known
      * @param sender sends a frame to another entry
      */
     public SlotHost(
             String self,
             String hall,
-            int queuePlaces,
+            int queueCapacity,
             Clock clock,
             MetricRegistry metrics,
-            Function<String, List<WorkerInfo>> workersOf,
+            Function<String, List<WorkerInfo>> workersByService,
             BiConsumer<String, Frame> sender) {
         this.self = self;
-        this.queuePlaces = queuePlaces;
+        this.queueCapacity = queueCapacity;
         this.clock = clock;
         this.metrics = metrics;
-        this.workersOf = workersOf;
+        this.workersByService = workersByService;
         this.sender = sender;
         this.desk = new SlotDesk(self, hall);
     }
 
     /** Asks for a slot and returns the ask's number; the reply comes later, or at once from within. */
-    public long ask(SlotDesk.Need need, SlotReplies replies) {
+    public long ask(SlotDesk.Need need, SlotReplyListener listener) {
         List<Outgoing> out = new ArrayList<>();
         long ask = desk.ask(need, clock.millis(), out);
-        waiting.put(ask, replies);
+        pendingAsks.put(ask, listener);
         deliver(out);
         return ask;
     }
 
     /** Takes an ask back; its reply does not come any more. */
     public void cancel(long ask) {
-        waiting.remove(ask);
+        pendingAsks.remove(ask);
         deliver(desk.cancel(ask));
     }
 
@@ -116,11 +116,11 @@
     /** Takes the entries of the region that are reachable and serve. */
     public void onReachable(Set<String> entries) {
         long now = clock.millis();
-        Set<String> lost = new HashSet<>(reachable);
-        lost.removeAll(entries);
+        Set<String> unreachable = new HashSet<>(reachable);
+        unreachable.removeAll(entries);
         reachable = Set.copyOf(entries);
-        for (String gone : lost) {
-            owners.values().forEach(o -> deliver(o.onEntryGone(gone, now)));
+        for (String entry : unreachable) {
+            owners.values().forEach(owner -> deliver(owner.onEntryGone(entry, now)));
         }
         deliver(desk.onReachable(entries, now));
     }
@@ -128,20 +128,20 @@
     /** Tells the owners of the workers as now known. */
     public void onWorkersChanged() {
         long now = clock.millis();
-        owners.forEach((service, o) -> deliver(o.onWorkers(workersOf.apply(service), now)));
+        owners.forEach((service, owner) -> deliver(owner.onWorkers(workersByService.apply(service), now)));
     }
 
     /** Lets time pass. */
     public void onTick() {
         long now = clock.millis();
         deliver(desk.onTick(now));
-        owners.values().forEach(o -> deliver(o.onTick(now)));
+        owners.values().forEach(owner -> deliver(owner.onTick(now)));
     }
 
     /** Returns the workers that this entry has ejected as owner, by service. */
     public Map<String, List<String>> ejected() {
         Map<String, List<String>> all = new TreeMap<>();
-        owners.forEach((service, o) -> all.put(service, o.ejected()));
+        owners.forEach((service, owner) -> all.put(service, owner.ejected()));
         all.values().removeIf(List::isEmpty);
         return all;
     }
@@ -174,9 +174,9 @@
     }
 
     private void reply(SlotDesk.Reply reply) {
-        SlotReplies r = waiting.remove(reply.ask());
-        if (r != null) {
-            r.onReply(reply);
+        SlotReplyListener listener = pendingAsks.remove(reply.ask());
+        if (listener != null) {
+            listener.onReply(reply);
         } else if (reply instanceof SlotDesk.Reply.Slot) {
             throw new IllegalStateException("a slot for an ask that nobody waits for: " + reply.ask());
         }
@@ -184,9 +184,9 @@
 
     private SlotOwner owner(String service) {
         return owners.computeIfAbsent(service, s -> {
-            SlotOwner o = new SlotOwner(s, queuePlaces, random);
-            o.onWorkers(workersOf.apply(s), clock.millis());
-            return o;
+            SlotOwner owner = new SlotOwner(s, queueCapacity, random);
+            owner.onWorkers(workersByService.apply(s), clock.millis());
+            return owner;
         });
     }
 
@@ -198,11 +198,11 @@
         }
         delivering = true;
         try {
-            for (Outgoing o = outbox.poll(); o != null; o = outbox.poll()) {
-                if (o.to().equals(self)) {
-                    handle(self, o.message());
+            for (Outgoing outgoing = outbox.poll(); outgoing != null; outgoing = outbox.poll()) {
+                if (outgoing.to().equals(self)) {
+                    handle(self, outgoing.message());
                 } else {
-                    sender.accept(o.to(), SlotFrames.encode(o.message()));
+                    sender.accept(outgoing.to(), SlotFrames.encode(outgoing.message()));
                 }
             }
         } finally {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplies.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplyListener.java
@@ -19,7 +19,7 @@
 
 /** Takes the reply to an ask for a slot; called once on the event loop. */
 @FunctionalInterface
-public interface SlotReplies {
+public interface SlotReplyListener {
 
     /** Takes the reply. */
     void onReply(SlotDesk.Reply reply);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/ConfirmedRevisions.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/ConfirmedRevisions.java
@@ -22,23 +22,23 @@
 /** Remembers when all entries had confirmed which revision of the configuration. */
 final class ConfirmedRevisions {
 
-    private static final int KEPT = 1_000;
+    private static final int MAX_ENTRIES = 1_000;
 
-    private final TreeMap<Long, Long> times = new TreeMap<>();
+    private final TreeMap<Long, Long> firstConfirmedAt = new TreeMap<>();
 
     /** Notes that every entry has at least {@code revision} in force at {@code now}. */
-    void note(long revision, long now) {
-        if (times.isEmpty() || revision > times.lastKey()) {
-            times.put(revision, now);
+    void record(long revision, long now) {
+        if (firstConfirmedAt.isEmpty() || revision > firstConfirmedAt.lastKey()) {
+            firstConfirmedAt.put(revision, now);
         }
-        if (times.size() > KEPT) {
-            times.pollFirstEntry();
+        if (firstConfirmedAt.size() > MAX_ENTRIES) {
+            firstConfirmedAt.pollFirstEntry();
         }
     }
 
     /** Returns when all entries were first known to have at least this revision in force. */
-    OptionalLong at(long revision) {
-        Map.Entry<Long, Long> e = times.ceilingEntry(revision);
-        return e == null ? OptionalLong.empty() : OptionalLong.of(e.getValue());
+    OptionalLong confirmedAt(long revision) {
+        Map.Entry<Long, Long> entry = firstConfirmedAt.ceilingEntry(revision);
+        return entry == null ? OptionalLong.empty() : OptionalLong.of(entry.getValue());
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverSight.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverObservation.java
@@ -25,11 +25,12 @@
  * The fleet as one driver sees it at one look.
  *
  * @param probe what workers last said
- * @param confirmed when all entries had confirmed which revision
- * @param undrained when the platform accepted which undrain
- * @param returnMillis how long a reboot may take
+ * @param confirmedRevisions when all entries had confirmed which revision
+ * @param undrainTimes when the platform accepted which undrain
+ * @param maxRebootMillis how long a reboot may take
  */
-record DriverSight(WorkerProbe probe, ConfirmedRevisions confirmed, Map<Undrain, Long> undrained, long returnMillis)
+record DriverObservation(
+        WorkerProbe probe, ConfirmedRevisions confirmedRevisions, Map<Undrain, Long> undrainTimes, long maxRebootMillis)
         implements FleetSight {
 
     /** An undrain under a fence. */
@@ -37,7 +38,7 @@
 
     @Override
     public Sight of(String instance) {
-        return probe.of(instance);
+        return probe.lastObservation(instance);
     }
 
     @Override
@@ -47,17 +48,17 @@
 
     @Override
     public Set<String> overdue() {
-        return probe.overdue(returnMillis);
+        return probe.overdue(maxRebootMillis);
     }
 
     @Override
     public OptionalLong confirmedAt(long revision) {
-        return confirmed.at(revision);
+        return confirmedRevisions.confirmedAt(revision);
     }
 
     @Override
     public OptionalLong undrainedAt(String instance, long fence) {
-        Long at = undrained.get(new Undrain(instance, fence));
+        Long at = undrainTimes.get(new Undrain(instance, fence));
         return at == null ? OptionalLong.empty() : OptionalLong.of(at);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
@@ -58,10 +58,10 @@
  */
 public final class WaveDriver {
 
-    private static final long LOOK_MILLIS = 500;
-    private static final long PROBE_ALL_MILLIS = 2_000;
-    private static final long LEASE_TRY_MILLIS = 2_000;
-    private static final long MAINTAIN_AGAIN_MILLIS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 500;
+    private static final long PROBE_ALL_INTERVAL_MILLIS = 2_000;
+    private static final long LEASE_RETRY_MILLIS = 2_000;
+    private static final long MAINTENANCE_RETRY_MILLIS = 2_000;
 
     private final String self;
     private final Platform platform;
@@ -71,17 +71,17 @@
     private final Membership membership;
     private final Registration registration;
     private final MetricRegistry metrics;
-    private final long returnMillis;
+    private final long maxRebootMillis;
     private final WorkerProbe probe;
-    private final ConfirmedRevisions confirmed = new ConfirmedRevisions();
-    private final Map<String, Long> heldUnder = new HashMap<>();
-    private final Map<String, Long> leaseTriedAt = new HashMap<>();
-    private final Map<String, Long> askedAt = new HashMap<>();
-    private final Map<DriverSight.Undrain, Long> undrained = new HashMap<>();
-    private final Set<String> writing = new HashSet<>();
-    private long probedAllAt = Long.MIN_VALUE / 2;
+    private final ConfirmedRevisions confirmedRevisions = new ConfirmedRevisions();
+    private final Map<String, Long> leaseByWave = new HashMap<>();
+    private final Map<String, Long> lastLeaseAttempt = new HashMap<>();
+    private final Map<String, Long> lastMaintenanceCall = new HashMap<>();
+    private final Map<DriverObservation.Undrain, Long> undrainTimes = new HashMap<>();
+    private final Set<String> pendingWrites = new HashSet<>();
+    private long lastFullProbe = Long.MIN_VALUE / 2;
 
-    /** Makes the driver of an entry; {@code returnMillis} is how long a reboot may take. */
+    /** Makes the driver of an entry; {@code maxRebootMillis} is how long a reboot may take. */
     public WaveDriver(
             String self,
             Platform platform,
@@ -92,7 +92,7 @@
             Registration registration,
             HttpClient client,
             MetricRegistry metrics,
-            long returnMillis) {
+            long maxRebootMillis) {
         this.self = self;
         this.platform = platform;
         this.writer = writer;
@@ -101,193 +101,195 @@
         this.membership = membership;
         this.registration = registration;
         this.metrics = metrics;
-        this.returnMillis = returnMillis;
+        this.maxRebootMillis = maxRebootMillis;
         this.probe = new WorkerProbe(client, loop);
     }
 
     /** Starts looking; call on the loop. */
     public void start() {
-        loop.every(LOOK_MILLIS, () -> config.whenFresh(this::look));
+        loop.every(POLL_INTERVAL_MILLIS, () -> config.whenFresh(this::poll));
     }
 
-    private void look() {
+    private void poll() {
         if (!config.platformOk()) {
             return;
         }
-        noteConfirmed();
+        updateConfirmedRevision();
         FleetView view = config.view();
-        List<WaveRecord> driven = view.waves().values().stream()
-                .filter(w -> !WaveStepper.isSettled(view, w))
+        List<WaveRecord> drivenWaves = view.waves().values().stream()
+                .filter(wave -> !WaveStepper.isSettled(view, wave))
                 .filter(this::mayDrive)
                 .toList();
-        probeFor(driven);
-        driven.forEach(this::drive);
+        probeFor(drivenWaves);
+        drivenWaves.forEach(this::drive);
         reconcile(view);
     }
 
     // Counted are all registered entries and all that are heard: one that lost its lease may still serve.
-    private void noteConfirmed() {
-        long least = config.view().contentRevision();
-        for (PeerState p : membership.peers()) {
-            if (p.registered() || membership.isReachable(p)) {
-                least = Math.min(least, p.revision());
+    private void updateConfirmedRevision() {
+        long lowestRevision = config.view().contentRevision();
+        for (PeerState peer : membership.peers()) {
+            if (peer.registered() || membership.isReachable(peer)) {
+                lowestRevision = Math.min(lowestRevision, peer.revision());
             }
         }
-        confirmed.note(least, loop.clock().millis());
+        confirmedRevisions.record(lowestRevision, loop.clock().millis());
     }
 
-    private boolean mayDrive(WaveRecord w) {
+    private boolean mayDrive(WaveRecord wave) {
         long lease = registration.liveLease();
         if (lease == 0) {
             return false;
         }
-        if (heldUnder.getOrDefault(w.name(), 0L) == lease) {
+        if (leaseByWave.getOrDefault(wave.name(), 0L) == lease) {
             return true;
         }
-        if (isFirstFor(w.name())) {
-            tryForLease(w.name(), lease);
+        if (ranksFirstFor(wave.name())) {
+            tryAcquireLease(wave.name(), lease);
         }
         return false;
     }
 
-    private boolean isFirstFor(String name) {
+    private boolean ranksFirstFor(String name) {
         List<String> candidates = Stream.concat(
                         Stream.of(self),
                         membership.reachable().stream()
-                                .filter(p -> p.platformOk() && p.serving())
+                                .filter(peer -> peer.platformOk() && peer.serving())
                                 .map(PeerState::id))
                 .toList();
         return RendezvousHash.rank(name, candidates).get(0).equals(self);
     }
 
-    private void tryForLease(String wave, long lease) {
+    private void tryAcquireLease(String wave, long lease) {
         long now = loop.clock().millis();
-        if (now - leaseTriedAt.getOrDefault(wave, Long.MIN_VALUE / 2) < LEASE_TRY_MILLIS) {
+        if (now - lastLeaseAttempt.getOrDefault(wave, Long.MIN_VALUE / 2) < LEASE_RETRY_MILLIS) {
             return;
         }
-        leaseTriedAt.put(wave, now);
+        lastLeaseAttempt.put(wave, now);
         String writeId = UUID.randomUUID().toString();
         Swap swap = new Swap(StoreKeys.driver(wave), self + " " + writeId, 0, lease);
-        writer.write(swap, writeId, r -> {
-            if (r.fate() == WriteResult.Fate.ACCEPTED) {
-                heldUnder.put(wave, lease);
+        writer.write(swap, writeId, result -> {
+            if (result.fate() == WriteResult.Fate.ACCEPTED) {
+                leaseByWave.put(wave, lease);
                 Log.info("wave-driver", "wave", wave, "entry", self);
             }
         });
     }
 
-    private void drive(WaveRecord w) {
-        FleetSight sight = new DriverSight(probe, confirmed, Map.copyOf(undrained), returnMillis);
+    private void drive(WaveRecord wave) {
+        FleetSight observation =
+                new DriverObservation(probe, confirmedRevisions, Map.copyOf(undrainTimes), maxRebootMillis);
         List<WaveAction> actions = WaveStepper.step(
-                config.view(), w.name(), sight, () -> UUID.randomUUID().toString());
-        actions.forEach(this::carryOut);
+                config.view(), wave.name(), observation, () -> UUID.randomUUID().toString());
+        actions.forEach(this::execute);
     }
 
     // Those that are out are looked at often, for each step waits for one of them; the other members of
     // their services more rarely, for they are only counted.
-    private void probeFor(List<WaveRecord> driven) {
+    private void probeFor(List<WaveRecord> drivenWaves) {
         long now = loop.clock().millis();
-        boolean all = now - probedAllAt >= PROBE_ALL_MILLIS;
-        if (all) {
-            probedAllAt = now;
+        boolean fullProbe = now - lastFullProbe >= PROBE_ALL_INTERVAL_MILLIS;
+        if (fullProbe) {
+            lastFullProbe = now;
         }
         FleetView view = config.view();
-        Set<String> wanted = new TreeSet<>();
-        for (WaveRecord w : driven) {
-            for (WaveTarget t : w.targets()) {
-                InstanceRecord i = view.instances().get(t.instance());
-                if (i != null && (all || i.isHeldBy(w.name()))) {
-                    wanted.add(i.id());
+        Set<String> instanceIds = new TreeSet<>();
+        for (WaveRecord wave : drivenWaves) {
+            for (WaveTarget target : wave.targets()) {
+                InstanceRecord instance = view.instances().get(target.instance());
+                if (instance != null && (fullProbe || instance.isHeldBy(wave.name()))) {
+                    instanceIds.add(instance.id());
                 }
-                if (i != null && all) {
-                    view.serviceOf(i).ifPresent(s -> wanted.addAll(s.members()));
+                if (instance != null && fullProbe) {
+                    view.serviceOf(instance).ifPresent(service -> instanceIds.addAll(service.members()));
                 }
             }
         }
-        wanted.stream().map(view.instances()::get).filter(Objects::nonNull).forEach(probe::probe);
+        instanceIds.stream().map(view.instances()::get).filter(Objects::nonNull).forEach(probe::probe);
     }
 
-    private void carryOut(WaveAction action) {
-        if (action instanceof WaveAction.PutService a) {
-            write(StoreKeys.service(a.next().name()), a.next(), a.next().writeId(), a.expectedRevision());
-        } else if (action instanceof WaveAction.PutShard a) {
-            write(a.key(), a.next(), a.next().writeId(), a.expectedRevision());
-        } else if (action instanceof WaveAction.PutWave a) {
+    private void execute(WaveAction action) {
+        if (action instanceof WaveAction.PutService put) {
+            write(StoreKeys.service(put.next().name()), put.next(), put.next().writeId(), put.expectedRevision());
+        } else if (action instanceof WaveAction.PutShard put) {
+            write(put.key(), put.next(), put.next().writeId(), put.expectedRevision());
+        } else if (action instanceof WaveAction.PutWave put) {
             Log.info(
                     "wave",
                     "wave",
-                    a.next().name(),
+                    put.next().name(),
                     "state",
-                    a.next().state(),
+                    put.next().state(),
                     "reason",
-                    a.next().reason());
-            write(StoreKeys.wave(a.next().name()), a.next(), a.next().writeId(), a.expectedRevision());
-        } else if (action instanceof WaveAction.Maintain a) {
-            maintain(a);
+                    put.next().reason());
+            write(StoreKeys.wave(put.next().name()), put.next(), put.next().writeId(), put.expectedRevision());
+        } else if (action instanceof WaveAction.Maintain maintain) {
+            requestMaintenance(maintain);
         }
     }
 
-    private void write(String key, Object value, String writeId, long expected) {
-        if (!writing.add(key)) {
+    private void write(String key, Object value, String writeId, long expectedRevision) {
+        if (!pendingWrites.add(key)) {
             return;
         }
         metrics.counter("wave.writes").inc();
-        writer.write(new Swap(key, RecordCodec.write(value), expected, 0), writeId, r -> {
-            if (r.fate() != WriteResult.Fate.ACCEPTED) {
-                Log.info("wave-write", "key", key, "fate", r.fate().wireName());
+        writer.write(new Swap(key, RecordCodec.write(value), expectedRevision, 0), writeId, result -> {
+            if (result.fate() != WriteResult.Fate.ACCEPTED) {
+                Log.info("wave-write", "key", key, "fate", result.fate().wireName());
             }
             // The next decision on this record needs what was written.
-            config.refresh(() -> writing.remove(key));
+            config.refresh(() -> pendingWrites.remove(key));
         });
     }
 
-    private void maintain(WaveAction.Maintain a) {
+    private void requestMaintenance(WaveAction.Maintain action) {
         long now = loop.clock().millis();
-        String call = a.step() + " " + a.instance() + " " + a.incarnation() + " " + a.fence();
-        if (now - askedAt.getOrDefault(call, Long.MIN_VALUE / 2) < MAINTAIN_AGAIN_MILLIS) {
+        String call = action.step() + " " + action.instance() + " " + action.incarnation() + " " + action.fence();
+        if (now - lastMaintenanceCall.getOrDefault(call, Long.MIN_VALUE / 2) < MAINTENANCE_RETRY_MILLIS) {
             return;
         }
-        askedAt.values().removeIf(t -> now - t > MAINTAIN_AGAIN_MILLIS);
-        askedAt.put(call, now);
-        MaintenanceStep step = MaintenanceStep.valueOf(a.step().name());
-        var unused = platform.maintain(step, a.instance(), a.incarnation(), a.fence())
-                .whenComplete((r, failure) -> loop.execute(() -> {
-                    if (r == MaintenanceResult.ACCEPTED && a.step() == WaveAction.Step.UNDRAIN) {
-                        noteUndrained(a);
+        lastMaintenanceCall.values().removeIf(calledAt -> now - calledAt > MAINTENANCE_RETRY_MILLIS);
+        lastMaintenanceCall.put(call, now);
+        MaintenanceStep step = MaintenanceStep.valueOf(action.step().name());
+        var unused = platform.maintain(step, action.instance(), action.incarnation(), action.fence())
+                .whenComplete((result, failure) -> loop.execute(() -> {
+                    if (result == MaintenanceResult.ACCEPTED && action.step() == WaveAction.Step.UNDRAIN) {
+                        recordUndrain(action);
                     }
-                    logMaintenance(a, r, failure);
+                    logMaintenance(action, result, failure);
                 }));
     }
 
-    private void noteUndrained(WaveAction.Maintain a) {
-        undrained.keySet().removeIf(u -> u.instance().equals(a.instance()));
-        undrained.put(
-                new DriverSight.Undrain(a.instance(), a.fence()), loop.clock().millis());
+    private void recordUndrain(WaveAction.Maintain action) {
+        undrainTimes.keySet().removeIf(u -> u.instance().equals(action.instance()));
+        undrainTimes.put(
+                new DriverObservation.Undrain(action.instance(), action.fence()),
+                loop.clock().millis());
     }
 
     private static void logMaintenance(
-            WaveAction.Maintain a,
-            @org.jspecify.annotations.Nullable MaintenanceResult r,
+            WaveAction.Maintain action,
+            @org.jspecify.annotations.Nullable MaintenanceResult result,
             @org.jspecify.annotations.Nullable Throwable failure) {
         Log.info(
                 "maintenance",
                 "step",
-                a.step(),
+                action.step(),
                 "instance",
-                a.instance(),
+                action.instance(),
                 "incarnation",
-                a.incarnation(),
+                action.incarnation(),
                 "result",
-                failure != null ? "unknown" : String.valueOf(r));
+                failure != null ? "unknown" : String.valueOf(result));
     }
 
     // Joiners are counted also while no wave runs, by one entry for each service.
     private void reconcile(FleetView view) {
-        for (ServiceRecord s : view.services().values()) {
-            String key = StoreKeys.service(s.name());
-            if (!writing.contains(key) && isFirstFor(s.name())) {
+        for (ServiceRecord service : view.services().values()) {
+            String key = StoreKeys.service(service.name());
+            if (!pendingWrites.contains(key) && ranksFirstFor(service.name())) {
                 String writeId = UUID.randomUUID().toString();
-                MemberReconciler.withJoiners(view, s, writeId)
+                MemberReconciler.withJoiners(view, service, writeId)
                         .ifPresent(next -> write(key, next, writeId, view.revisionOf(key)));
             }
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
@@ -37,18 +37,18 @@
 final class WorkerProbe {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final long PROBE_MILLIS = 1_000;
+    private static final long PROBE_TIMEOUT_MILLIS = 1_000;
     // Two probes missed in a row and some time on top: one lost probe is no failure.
     private static final long FAILED_AFTER_MILLIS = 2_500;
-    private static final int LARGEST_ANSWER = 65_536;
+    private static final int MAX_RESPONSE_BYTES = 65_536;
     private static final int OK = 200;
 
     private final HttpClient client;
     private final EventLoop loop;
-    private final Map<String, Sight> sights = new HashMap<>();
-    private final Map<String, Long> silentSince = new HashMap<>();
+    private final Map<String, Sight> lastObservations = new HashMap<>();
+    private final Map<String, Long> unreachableSince = new HashMap<>();
     private final Map<String, Long> rebootingSince = new HashMap<>();
-    private final Set<String> underWay = new HashSet<>();
+    private final Set<String> inFlight = new HashSet<>();
 
     WorkerProbe(HttpClient client, EventLoop loop) {
         this.client = client;
@@ -56,84 +56,85 @@
     }
 
     /** Sends a probe to a worker unless one is under way. */
-    void probe(InstanceRecord i) {
-        noteState(i);
-        if (!underWay.add(i.id())) {
+    void probe(InstanceRecord instance) {
+        trackReboot(instance);
+        if (!inFlight.add(instance.id())) {
             return;
         }
-        long sent = loop.clock().millis();
-        client.newRequest("http://" + i.address() + "/status")
-                .timeout(PROBE_MILLIS, TimeUnit.MILLISECONDS)
-                .send(new BufferingResponseListener(LARGEST_ANSWER) {
+        long sentAt = loop.clock().millis();
+        client.newRequest("http://" + instance.address() + "/status")
+                .timeout(PROBE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+                .send(new BufferingResponseListener(MAX_RESPONSE_BYTES) {
                     @Override
                     public void onComplete(Result result) {
-                        boolean good =
+                        boolean success =
                                 result.isSucceeded() && result.getResponse().getStatus() == OK;
-                        Sight s = good ? parse(getContentAsString(StandardCharsets.UTF_8), sent) : null;
-                        loop.execute(() -> take(i.id(), s, sent));
+                        Sight observation = success ? parse(getContentAsString(StandardCharsets.UTF_8), sentAt) : null;
+                        loop.execute(() -> onProbeResult(instance.id(), observation, sentAt));
                     }
                 });
     }
 
-    private void noteState(InstanceRecord i) {
-        if (i.state() == InstanceState.REBOOTING) {
-            rebootingSince.putIfAbsent(i.id(), loop.clock().millis());
+    private void trackReboot(InstanceRecord instance) {
+        if (instance.state() == InstanceState.REBOOTING) {
+            rebootingSince.putIfAbsent(instance.id(), loop.clock().millis());
         } else {
-            rebootingSince.remove(i.id());
+            rebootingSince.remove(instance.id());
         }
     }
 
-    private static @Nullable Sight parse(@Nullable String text, long sent) {
+    private static @Nullable Sight parse(@Nullable String text, long sentAt) {
         try {
-            JsonNode n = MAPPER.readTree(text == null ? "" : text);
-            boolean whole = n.path("incarnation").isIntegralNumber()
-                    && n.path("running").isInt()
-                    && n.path("leaving").isBoolean();
-            return whole
+            JsonNode node = MAPPER.readTree(text == null ? "" : text);
+            boolean complete = node.path("incarnation").isIntegralNumber()
+                    && node.path("running").isInt()
+                    && node.path("leaving").isBoolean();
+            return complete
                     ? new Sight(
-                            n.path("incarnation").asLong(),
+                            node.path("incarnation").asLong(),
                             true,
-                            n.path("leaving").asBoolean(),
-                            n.path("running").asInt(),
-                            sent)
+                            node.path("leaving").asBoolean(),
+                            node.path("running").asInt(),
+                            sentAt)
                     : null;
         } catch (JsonProcessingException e) {
             return null;
         }
     }
 
-    private void take(String id, @Nullable Sight s, long sent) {
-        underWay.remove(id);
-        if (s != null) {
-            sights.put(id, s);
-            silentSince.remove(id);
+    private void onProbeResult(String id, @Nullable Sight observation, long sentAt) {
+        inFlight.remove(id);
+        if (observation != null) {
+            lastObservations.put(id, observation);
+            unreachableSince.remove(id);
             return;
         }
-        silentSince.putIfAbsent(id, sent);
-        Sight old = sights.getOrDefault(id, Sight.NONE);
-        sights.put(id, new Sight(old.incarnation(), false, old.leaving(), old.running(), sent));
+        unreachableSince.putIfAbsent(id, sentAt);
+        Sight previous = lastObservations.getOrDefault(id, Sight.NONE);
+        lastObservations.put(
+                id, new Sight(previous.incarnation(), false, previous.leaving(), previous.running(), sentAt));
     }
 
     /** Returns what a worker last said. */
-    Sight of(String instance) {
-        return sights.getOrDefault(instance, Sight.NONE);
+    Sight lastObservation(String instance) {
+        return lastObservations.getOrDefault(instance, Sight.NONE);
     }
 
     /** Returns those that have been silent for long enough to count as failed. */
     Set<String> failed() {
-        return olderThan(silentSince, FAILED_AFTER_MILLIS);
+        return longerThan(unreachableSince, FAILED_AFTER_MILLIS);
     }
 
     /** Returns those whose reboot this driver has waited for longer than {@code millis}. */
     Set<String> overdue(long millis) {
-        return olderThan(rebootingSince, millis);
+        return longerThan(rebootingSince, millis);
     }
 
-    private Set<String> olderThan(Map<String, Long> since, long millis) {
+    private Set<String> longerThan(Map<String, Long> since, long millis) {
         long now = loop.clock().millis();
         Set<String> all = new HashSet<>();
-        since.forEach((id, t) -> {
-            if (now - t > millis) {
+        since.forEach((id, startedAt) -> {
+            if (now - startedAt > millis) {
                 all.add(id);
             }
         });
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
@@ -39,8 +39,8 @@
 final class SimEntry {
 
     private static final String SERVICE = "clips";
-    private static final int PLACES = 400;
-    private static final long TRY_AGAIN_MILLIS = 50;
+    private static final int QUEUE_CAPACITY = 400;
+    private static final long RETRY_MILLIS = 50;
 
     final String id;
     final String hall;
@@ -50,21 +50,21 @@
     private final SimFleet fleet;
     private final SlotDesk desk;
     private final RetryBudget retries = new RetryBudget();
-    private final Map<Long, Run> asks = new HashMap<>();
+    private final Map<Long, Run> pendingAsks = new HashMap<>();
     private final List<Runnable> inbox = new ArrayList<>();
     private final Map<String, Integer> inFlight = new HashMap<>();
     private final TreeSet<Run> queue =
             new TreeSet<>(Comparator.<Run>comparingLong(r -> r.job.urgency.orderTime(r.askedAt))
                     .thenComparingLong(r -> r.number));
-    private long numbers;
-    private boolean servingLater;
+    private long nextNumber;
+    private boolean retryScheduled;
 
     SimEntry(String id, String hall, SimFleet fleet) {
         this.id = id;
         this.hall = hall;
         this.fleet = fleet;
         this.desk = new SlotDesk(id, hall);
-        this.owner = new SlotOwner(SERVICE, PLACES, fleet.random);
+        this.owner = new SlotOwner(SERVICE, QUEUE_CAPACITY, fleet.random);
     }
 
     /** One try of a job at this entry. */
@@ -72,13 +72,13 @@
         private final SimJob job;
         private final CallerRequest request;
         private final RequestMachine machine;
-        private final long number = numbers++;
+        private final long number = nextNumber++;
         private long askedAt;
         private long ask;
         private int attempts;
         private boolean lastFailed;
         private boolean sendAgain;
-        private String at = "";
+        private String worker = "";
         private RequestAction.@Nullable Send sending;
 
         private Run(SimJob job, long deadlineMillis) {
@@ -92,14 +92,14 @@
             machine = new RequestMachine(request, retries);
         }
 
-        private void on(RequestEvent e) {
+        private void onEvent(RequestEvent e) {
             if (dead) {
                 return;
             }
-            machine.on(e, fleet.time.now()).forEach(this::carryOut);
+            machine.on(e, fleet.time.now()).forEach(this::execute);
         }
 
-        private void carryOut(RequestAction a) {
+        private void execute(RequestAction a) {
             if (a instanceof RequestAction.AskSlot s) {
                 askedAt = fleet.time.now();
                 askSlot(s);
@@ -119,8 +119,8 @@
 
         private void askSlot(RequestAction.AskSlot s) {
             if (fleet.policy == SimPolicy.TWO_CHOICES) {
-                if (queue.size() >= job.urgency.queuePlaces(PLACES)) {
-                    fleet.time.after(0, () -> on(new RequestEvent.SlotRefused(GiveUpReason.SHED, 2_000)));
+                if (queue.size() >= job.urgency.queuePlaces(QUEUE_CAPACITY)) {
+                    fleet.time.after(0, () -> onEvent(new RequestEvent.SlotRefused(GiveUpReason.SHED, 2_000)));
                 } else {
                     queue.add(this);
                     fleet.time.after(0, SimEntry.this::serveQueue);
@@ -132,7 +132,7 @@
                     new SlotDesk.Need(SERVICE, job.urgency, request.arrival(), request.deadline(), s.avoid(), 0),
                     fleet.time.now(),
                     out);
-            asks.put(ask, this);
+            pendingAsks.put(ask, this);
             route(out);
         }
 
@@ -144,51 +144,52 @@
         private void sendTo(RequestAction.Send s, String worker) {
             SimWorker w = fleet.worker(worker);
             attempts++;
-            fleet.figures.attempts++;
-            long started = fleet.time.now() - job.bornAt;
-            Runnable go = () -> w.run(job, o -> fleet.time.after(1, () -> deliver(() -> ended(s, o, started))));
+            fleet.statistics.attempts++;
+            long started = fleet.time.now() - job.createdAt;
+            Runnable startRun =
+                    () -> w.run(job, o -> fleet.time.after(1, () -> deliver(() -> onAttemptEnded(s, o, started))));
             if (fleet.isCut(hall, w.hall)) {
-                fleet.time.after(500, () -> deliver(() -> ended(s, AttemptOutcome.NOT_SENT, started)));
+                fleet.time.after(500, () -> deliver(() -> onAttemptEnded(s, AttemptOutcome.NOT_SENT, started)));
             } else {
-                fleet.time.after(1, go);
+                fleet.time.after(1, startRun);
             }
         }
 
-        private void ended(RequestAction.Send s, AttemptOutcome o, long started) {
+        private void onAttemptEnded(RequestAction.Send s, AttemptOutcome o, long started) {
             lastFailed = o == AttemptOutcome.FAILED;
             if (o == AttemptOutcome.REFUSED_FULL) {
-                fleet.figures.refusals++;
+                fleet.statistics.refusals++;
                 if (fleet.policy == SimPolicy.TWO_CHOICES && !machine.isAnswered()) {
                     // The baseline expects refusals: they go back to its queue and cost no retry.
-                    inFlight.merge(at, -1, Integer::sum);
+                    inFlight.merge(worker, -1, Integer::sum);
                     sendAgain = true;
                     queue.add(this);
-                    serveLater();
+                    scheduleRetry();
                     return;
                 }
             } else if (o != AttemptOutcome.NOT_SENT) {
-                fleet.figures.waited(job.urgency, started);
+                fleet.statistics.recordWait(job.urgency, started);
             }
-            on(new RequestEvent.AttemptEnded(s.attempt(), o));
+            onEvent(new RequestEvent.AttemptEnded(s.attempt(), o));
         }
 
-        private void granted(String worker) {
+        private void onGranted(String grantedWorker) {
             RequestAction.Send s = sending;
-            at = worker;
+            worker = grantedWorker;
             if (!sendAgain || s == null) {
-                on(new RequestEvent.SlotGranted(numbers++, worker));
+                onEvent(new RequestEvent.SlotGranted(nextNumber++, grantedWorker));
             } else if (machine.isAnswered()) {
-                on(new RequestEvent.AttemptEnded(s.attempt(), AttemptOutcome.UNUSED));
+                onEvent(new RequestEvent.AttemptEnded(s.attempt(), AttemptOutcome.UNUSED));
             } else {
                 sendAgain = false;
-                sendTo(s, worker);
+                sendTo(s, grantedWorker);
             }
         }
 
         private void release(RequestAction.ReleaseSlot r) {
             if (fleet.policy == SimPolicy.TWO_CHOICES) {
-                inFlight.merge(at, -1, Integer::sum);
-                long wait = r.outcome() == AttemptOutcome.REFUSED_FULL ? TRY_AGAIN_MILLIS : 0;
+                inFlight.merge(worker, -1, Integer::sum);
+                long wait = r.outcome() == AttemptOutcome.REFUSED_FULL ? RETRY_MILLIS : 0;
                 fleet.time.after(wait, SimEntry.this::serveQueue);
             } else {
                 route(desk.release(SERVICE, new Grant(r.grant(), r.worker()), r.outcome(), fleet.time.now()));
@@ -200,33 +201,33 @@
     void accept(SimJob job, long deadlineMillis) {
         deliver(() -> {
             Run r = new Run(job, deadlineMillis);
-            r.on(new RequestEvent.Arrived());
-            fleet.time.after(deadlineMillis, () -> deliver(() -> r.on(new RequestEvent.DeadlinePassed())));
+            r.onEvent(new RequestEvent.Arrived());
+            fleet.time.after(deadlineMillis, () -> deliver(() -> r.onEvent(new RequestEvent.DeadlinePassed())));
         });
     }
 
     /** Gives something to this entry; while it is frozen it takes nothing in, once dead never again. */
-    void deliver(Runnable what) {
+    void deliver(Runnable task) {
         if (dead) {
             return;
         }
         if (frozen) {
-            inbox.add(what);
+            inbox.add(task);
         } else {
-            what.run();
+            task.run();
         }
     }
 
-    void thaw() {
+    void unfreeze() {
         frozen = false;
-        List<Runnable> late = List.copyOf(inbox);
+        List<Runnable> delayed = List.copyOf(inbox);
         inbox.clear();
-        late.forEach(Runnable::run);
+        delayed.forEach(Runnable::run);
     }
 
-    void reachable(List<String> entries, List<String> gone) {
+    void reachable(List<String> entries, List<String> unreachable) {
         long now = fleet.time.now();
-        gone.forEach(g -> route(owner.onEntryGone(g, now)));
+        unreachable.forEach(g -> route(owner.onEntryGone(g, now)));
         route(desk.onReachable(entries, now));
     }
 
@@ -240,19 +241,19 @@
             String w = lessBusyOfTwo();
             if (inFlight.getOrDefault(w, 0) >= SimWorker.SLOTS) {
                 queue.add(r);
-                serveLater();
+                scheduleRetry();
                 return;
             }
             inFlight.merge(w, 1, Integer::sum);
-            r.granted(w);
+            r.onGranted(w);
         }
     }
 
-    private void serveLater() {
-        if (!servingLater) {
-            servingLater = true;
-            fleet.time.after(TRY_AGAIN_MILLIS, () -> {
-                servingLater = false;
+    private void scheduleRetry() {
+        if (!retryScheduled) {
+            retryScheduled = true;
+            fleet.time.after(RETRY_MILLIS, () -> {
+                retryScheduled = false;
                 serveQueue();
             });
         }
@@ -270,7 +271,7 @@
             if (o.to().equals(id)) {
                 fleet.time.after(0, () -> deliver(() -> handle(id, o.message())));
             } else {
-                fleet.carry(id, o);
+                fleet.transmit(id, o);
             }
         }
     }
@@ -293,14 +294,14 @@
     }
 
     private void reply(SlotDesk.Reply reply) {
-        Run r = asks.remove(reply.ask());
+        Run r = pendingAsks.remove(reply.ask());
         if (r == null) {
             return;
         }
         if (reply instanceof SlotDesk.Reply.Slot s) {
-            r.on(new RequestEvent.SlotGranted(s.grant().id(), s.grant().worker()));
+            r.onEvent(new RequestEvent.SlotGranted(s.grant().id(), s.grant().worker()));
         } else if (reply instanceof SlotDesk.Reply.NoSlot n) {
-            r.on(new RequestEvent.SlotRefused(n.reason(), n.comeBackMillis()));
+            r.onEvent(new RequestEvent.SlotRefused(n.reason(), n.comeBackMillis()));
         }
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
@@ -36,71 +36,71 @@
     private static final int ENTRIES = 9;
     private static final int WORKERS = 8;
     private static final int HALLS = 4;
-    private static final int MOST_TRIES = 4;
+    private static final int MAX_TRIES = 4;
     private static final long MEAN_RUN_MILLIS = 2_000;
     private static final long TICK_MILLIS = 100;
-    private static final long LOST_AFTER_MILLIS = 2_500;
+    private static final long FAILURE_DETECTION_MILLIS = 2_500;
 
     final SimTime time = new SimTime();
     final SplittableRandom random;
     final SimPolicy policy;
-    final SimFigures figures = new SimFigures();
+    final SimStatistics statistics = new SimStatistics();
     double load;
     double poisonShare;
     /** By how much each run is longer than callers and the owner's mean expect. */
     double runFactor = 1;
     /** Whether each run is off by up to ten times either way. */
-    boolean runsOff;
+    boolean varyRunTimes;
 
     long deadlineMillis = 30_000;
     private final TreeMap<String, SimEntry> entries = new TreeMap<>();
     private final TreeMap<String, SimWorker> workers = new TreeMap<>();
-    private final Set<String> cutHalls = new HashSet<>();
-    private Set<String> lost = Set.of();
+    private final Set<String> isolatedHalls = new HashSet<>();
+    private Set<String> failedEntries = Set.of();
 
     SimFleet(long seed, SimPolicy policy, double load) {
         this.random = new SplittableRandom(seed);
         this.policy = policy;
         this.load = load;
         for (int i = 0; i < WORKERS; i++) {
-            SimWorker w = new SimWorker("w" + i, "hall" + i % HALLS, time);
-            workers.put(w.id, w);
+            SimWorker worker = new SimWorker("w" + i, "hall" + i % HALLS, time);
+            workers.put(worker.id, worker);
         }
         for (int i = 0; i < ENTRIES; i++) {
-            SimEntry e = new SimEntry("e" + i, "hall" + i % HALLS, this);
-            entries.put(e.id, e);
-            e.owner.onWorkers(workersFor(e), 0);
+            SimEntry entry = new SimEntry("e" + i, "hall" + i % HALLS, this);
+            entries.put(entry.id, entry);
+            entry.owner.onWorkers(workersFor(entry), 0);
         }
-        entries.values().forEach(e -> e.reachable(reachableFrom(e), List.of()));
-        time.every(TICK_MILLIS, () -> entries.values().forEach(e -> e.deliver(e::tick)));
-        time.after(0, this::arrive);
+        entries.values().forEach(entry -> entry.reachable(reachableFrom(entry), List.of()));
+        time.every(TICK_MILLIS, () -> entries.values().forEach(entry -> entry.deliver(entry::tick)));
+        time.after(0, this::onArrival);
     }
 
-    private List<WorkerInfo> workersFor(SimEntry e) {
+    private List<WorkerInfo> workersFor(SimEntry entry) {
         return workers.values().stream()
-                .filter(w -> policy != SimPolicy.HALL_OWNERS || w.hall.equals(e.hall))
-                .map(w -> new WorkerInfo(w.id, w.hall, SimWorker.SLOTS, 1_000, true))
+                .filter(worker -> policy != SimPolicy.HALL_OWNERS || worker.hall.equals(entry.hall))
+                .map(worker -> new WorkerInfo(worker.id, worker.hall, SimWorker.SLOTS, 1_000, true))
                 .toList();
     }
 
-    private List<String> reachableFrom(SimEntry e) {
+    private List<String> reachableFrom(SimEntry entry) {
         return entries.values().stream()
-                .filter(x -> !x.dead && !lost.contains(x.id) && !isCut(e.hall, x.hall))
-                .filter(x -> policy != SimPolicy.HALL_OWNERS || x.hall.equals(e.hall))
-                .map(x -> x.id)
+                .filter(other -> !other.dead && !failedEntries.contains(other.id) && !isCut(entry.hall, other.hall))
+                .filter(other -> policy != SimPolicy.HALL_OWNERS || other.hall.equals(entry.hall))
+                .map(other -> other.id)
                 .toList();
     }
 
-    private void arrive() {
-        double perMilli = load * WORKERS * SimWorker.SLOTS / MEAN_RUN_MILLIS;
-        time.after(Math.max(1, Math.round(exponential(1 / perMilli))), this::arrive);
+    private void onArrival() {
+        double jobsPerMilli = load * WORKERS * SimWorker.SLOTS / MEAN_RUN_MILLIS;
+        time.after(Math.max(1, Math.round(exponential(1 / jobsPerMilli))), this::onArrival);
         int kind = random.nextInt(10);
-        Urgency u = kind == 0 ? Urgency.URGENT : kind < 7 ? Urgency.NORMAL : Urgency.MAY_WAIT;
-        double off = runsOff ? Math.pow(10, random.nextDouble() * 2 - 1) : 1;
-        long run = Math.max(1, Math.round(exponential(MEAN_RUN_MILLIS) * runFactor * off));
+        Urgency urgency = kind == 0 ? Urgency.URGENT : kind < 7 ? Urgency.NORMAL : Urgency.MAY_WAIT;
+        double factor = varyRunTimes ? Math.pow(10, random.nextDouble() * 2 - 1) : 1;
+        long runMillis = Math.max(1, Math.round(exponential(MEAN_RUN_MILLIS) * runFactor * factor));
         boolean poison = random.nextDouble() < poisonShare;
-        figures.jobs++;
-        attempt(new SimJob(u, run, poison, random.nextBoolean(), time.now()));
+        statistics.jobs++;
+        attempt(new SimJob(urgency, runMillis, poison, random.nextBoolean(), time.now()));
     }
 
     private double exponential(double mean) {
@@ -109,31 +109,32 @@
 
     private void attempt(SimJob job) {
         job.tries++;
-        List<SimEntry> alive = entries.values().stream().filter(e -> !e.dead).toList();
+        List<SimEntry> alive =
+                entries.values().stream().filter(entry -> !entry.dead).toList();
         alive.get(random.nextInt(alive.size())).accept(job, deadlineMillis);
     }
 
-    void onAnswer(SimJob job, int attempts, boolean good) {
+    void onAnswer(SimJob job, int attempts, boolean success) {
         if (job.poison) {
-            figures.poisonAttempts.recordValue(attempts);
+            statistics.poisonAttempts.recordValue(attempts);
             return;
         }
-        if (!good) {
-            figures.lost++;
+        if (!success) {
+            statistics.lost++;
             return;
         }
-        figures.answered++;
-        int second = (int) Math.min(figures.goodputBySecond.length - 1, time.now() / 1_000);
-        figures.goodputBySecond[second]++;
+        statistics.answered++;
+        int second = (int) Math.min(statistics.goodputBySecond.length - 1, time.now() / 1_000);
+        statistics.goodputBySecond[second]++;
     }
 
-    void onGiveUp(SimJob job, int attempts, RequestAction.GiveUp g) {
+    void onGiveUp(SimJob job, int attempts, RequestAction.GiveUp giveUp) {
         if (job.poison) {
-            figures.poisonAttempts.recordValue(Math.max(1, attempts));
-        } else if (g.comeBackMillis() > 0 && job.tries < MOST_TRIES) {
-            time.after(g.comeBackMillis(), () -> attempt(job));
+            statistics.poisonAttempts.recordValue(Math.max(1, attempts));
+        } else if (giveUp.comeBackMillis() > 0 && job.tries < MAX_TRIES) {
+            time.after(giveUp.comeBackMillis(), () -> attempt(job));
         } else {
-            figures.failedForCaller++;
+            statistics.failedForCaller++;
         }
     }
 
@@ -150,79 +151,80 @@
     }
 
     boolean isCut(String hallA, String hallB) {
-        return !hallA.equals(hallB) && (cutHalls.contains(hallA) || cutHalls.contains(hallB));
+        return !hallA.equals(hallB) && (isolatedHalls.contains(hallA) || isolatedHalls.contains(hallB));
     }
 
-    void carry(String from, Outgoing o) {
-        figures.messages++;
-        figures.bytes += SlotFrames.encode(o.message()).getSerializedSize() + 2;
-        SimEntry to = entry(o.to());
+    void transmit(String from, Outgoing message) {
+        statistics.messages++;
+        statistics.bytes += SlotFrames.encode(message.message()).getSerializedSize() + 2;
+        SimEntry to = entry(message.to());
         if (!isCut(entry(from).hall, to.hall)) {
-            time.after(1, () -> to.deliver(() -> to.handle(from, o.message())));
+            time.after(1, () -> to.deliver(() -> to.handle(from, message.message())));
         }
     }
 
-    void cut(String hall, boolean cut) {
+    void setCut(String hall, boolean cut) {
         if (cut) {
-            cutHalls.add(hall);
+            isolatedHalls.add(hall);
         } else {
-            cutHalls.remove(hall);
+            isolatedHalls.remove(hall);
         }
-        noticeLater(cut);
+        scheduleDetection(cut);
     }
 
     void freeze(String id) {
         entry(id).frozen = true;
-        noticeLater(true);
+        scheduleDetection(true);
     }
 
-    void thaw(String id) {
-        entry(id).thaw();
-        noticeLater(false);
+    void unfreeze(String id) {
+        entry(id).unfreeze();
+        scheduleDetection(false);
     }
 
     void kill(String id) {
         entry(id).dead = true;
         // A killed process closes its connections, so this is noticed at once.
-        time.after(1, this::notice);
+        time.after(1, this::detectFailures);
     }
 
-    private void noticeLater(boolean slow) {
-        time.after(slow ? LOST_AFTER_MILLIS : 1_000, this::notice);
+    private void scheduleDetection(boolean silent) {
+        time.after(silent ? FAILURE_DETECTION_MILLIS : 1_000, this::detectFailures);
     }
 
-    private void notice() {
-        Set<String> gone = new HashSet<>();
-        entries.values().stream().filter(e -> e.frozen || e.dead).forEach(e -> gone.add(e.id));
-        lost = gone;
-        for (SimEntry e : entries.values()) {
-            List<String> reachable = reachableFrom(e);
+    private void detectFailures() {
+        Set<String> failed = new HashSet<>();
+        entries.values().stream().filter(entry -> entry.frozen || entry.dead).forEach(entry -> failed.add(entry.id));
+        failedEntries = failed;
+        for (SimEntry entry : entries.values()) {
+            List<String> reachable = reachableFrom(entry);
             List<String> unreachable = new ArrayList<>(entries.keySet());
             unreachable.removeAll(reachable);
-            e.deliver(() -> e.reachable(reachable, unreachable));
+            entry.deliver(() -> entry.reachable(reachable, unreachable));
         }
     }
 
     /** Returns the entry that owns the slots now. */
     String busiestOwner() {
         return entries.values().stream()
-                .max(java.util.Comparator.comparingInt(e -> e.owner.grantsInUse()))
-                .map(e -> e.id)
+                .max(java.util.Comparator.comparingInt(entry -> entry.owner.grantsInUse()))
+                .map(entry -> entry.id)
                 .orElseThrow();
     }
 
-    void countGoodEjected() {
+    void countHealthyEjected() {
         Set<String> ejected = new HashSet<>();
         entries.values().stream()
-                .filter(e -> e.owner.grantsInUse() > 0)
-                .forEach(e -> ejected.addAll(e.owner.ejected()));
-        figures.goodEjected = ejected.stream()
-                .filter(w -> worker(w).manner == SimWorker.Manner.GOOD)
+                .filter(entry -> entry.owner.grantsInUse() > 0)
+                .forEach(entry -> ejected.addAll(entry.owner.ejected()));
+        statistics.healthyEjected = ejected.stream()
+                .filter(worker -> worker(worker).behaviour == SimWorker.Behaviour.HEALTHY)
                 .count();
     }
 
     double shareUsed(long from, long until) {
-        long busy = workers.values().stream().mapToLong(w -> w.busyMillis).sum();
-        return (double) busy / ((until - from) * WORKERS * SimWorker.SLOTS);
+        long busyMillis =
+                workers.values().stream().mapToLong(worker -> worker.busyMillis).sum();
+        return (double) busyMillis / ((until - from) * WORKERS * SimWorker.SLOTS);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
@@ -24,14 +24,14 @@
     final long runMillis;
     final boolean poison;
     final boolean repeatable;
-    final long bornAt;
+    final long createdAt;
     int tries;
 
-    SimJob(Urgency urgency, long runMillis, boolean poison, boolean repeatable, long bornAt) {
+    SimJob(Urgency urgency, long runMillis, boolean poison, boolean repeatable, long createdAt) {
         this.urgency = urgency;
         this.runMillis = runMillis;
         this.poison = poison;
         this.repeatable = repeatable;
-        this.bornAt = bornAt;
+        this.createdAt = createdAt;
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFigures.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimStatistics.java
@@ -21,9 +21,9 @@
 import org.lupinpaddle.core.common.Urgency;
 
 /** What one run of the experiment counted. Waits are from a job's birth to its start on a worker, in ms. */
-final class SimFigures {
+final class SimStatistics {
 
-    private static final long LONGEST = 3_600_000;
+    private static final long MAX_WAIT_MILLIS = 3_600_000;
 
     final Map<Urgency, Histogram> waits = new EnumMap<>(Urgency.class);
     final Histogram poisonAttempts = new Histogram(1_000, 3);
@@ -37,25 +37,25 @@
     long attempts;
     long messages;
     long bytes;
-    long goodEjected;
+    long healthyEjected;
     long[] goodputBySecond = new long[3_600];
 
-    SimFigures() {
-        for (Urgency u : Urgency.values()) {
-            waits.put(u, new Histogram(LONGEST, 3));
+    SimStatistics() {
+        for (Urgency urgency : Urgency.values()) {
+            waits.put(urgency, new Histogram(MAX_WAIT_MILLIS, 3));
         }
     }
 
-    void waited(Urgency u, long millis) {
-        Histogram h = waits.get(u);
-        if (h != null) {
-            h.recordValue(Math.min(LONGEST, millis));
+    void recordWait(Urgency urgency, long millis) {
+        Histogram histogram = waits.get(urgency);
+        if (histogram != null) {
+            histogram.recordValue(Math.min(MAX_WAIT_MILLIS, millis));
         }
     }
 
-    long wait(Urgency u, double percentile) {
-        Histogram h = waits.get(u);
-        return h == null ? 0 : h.getValueAtPercentile(percentile);
+    long waitPercentile(Urgency urgency, double percentile) {
+        Histogram histogram = waits.get(urgency);
+        return histogram == null ? 0 : histogram.getValueAtPercentile(percentile);
     }
 
     double perJob(long count) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimTime.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimTime.java
@@ -21,33 +21,33 @@
 /** Virtual time: steps run in the order of their times, and of their making where times are equal. */
 final class SimTime {
 
-    private record Step(long at, long number, Runnable what) {}
+    private record Event(long at, long number, Runnable action) {}
 
-    private final PriorityQueue<Step> steps =
-            new PriorityQueue<>(Comparator.comparingLong(Step::at).thenComparingLong(Step::number));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
     private long now;
-    private long made;
+    private long scheduledCount;
 
     long now() {
         return now;
     }
 
-    void after(long millis, Runnable what) {
-        steps.add(new Step(now + millis, made++, what));
+    void after(long millis, Runnable action) {
+        events.add(new Event(now + millis, scheduledCount++, action));
     }
 
-    void every(long millis, Runnable what) {
+    void every(long millis, Runnable action) {
         after(millis, () -> {
-            what.run();
-            every(millis, what);
+            action.run();
+            every(millis, action);
         });
     }
 
     void runUntil(long end) {
-        while (!steps.isEmpty() && steps.peek().at <= end) {
-            Step s = steps.poll();
-            now = s.at;
-            s.what.run();
+        while (!events.isEmpty() && events.peek().at <= end) {
+            Event event = events.poll();
+            now = event.at;
+            event.action.run();
         }
         now = end;
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
@@ -22,8 +22,8 @@
 final class SimWorker {
 
     /** How a worker behaves. */
-    enum Manner {
-        GOOD,
+    enum Behaviour {
+        HEALTHY,
         /** Fails everything after a millisecond. */
         FAILS_FAST,
         /** Fails everything after the time it would have run. */
@@ -34,7 +34,7 @@
 
     final String id;
     final String hall;
-    Manner manner = Manner.GOOD;
+    Behaviour behaviour = Behaviour.HEALTHY;
     long busyMillis;
     private final SimTime time;
     private int running;
@@ -51,12 +51,12 @@
             return;
         }
         running++;
-        long took = manner == Manner.FAILS_FAST || job.poison ? 1 : job.runMillis;
-        boolean good = manner == Manner.GOOD && !job.poison;
-        time.after(took, () -> {
+        long durationMillis = behaviour == Behaviour.FAILS_FAST || job.poison ? 1 : job.runMillis;
+        boolean success = behaviour == Behaviour.HEALTHY && !job.poison;
+        time.after(durationMillis, () -> {
             running--;
-            busyMillis += good ? took : 0;
-            onEnd.accept(good ? AttemptOutcome.ANSWERED : AttemptOutcome.FAILED);
+            busyMillis += success ? durationMillis : 0;
+            onEnd.accept(success ? AttemptOutcome.ANSWERED : AttemptOutcome.FAILED);
         });
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SlotExperiment.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SlotExperiment.java
@@ -27,8 +27,8 @@
  */
 public final class SlotExperiment {
 
-    private static final long MINUTE = 60_000;
-    private static final long RUN = 10 * MINUTE;
+    private static final long MINUTE_MILLIS = 60_000;
+    private static final long RUN_MILLIS = 10 * MINUTE_MILLIS;
 
     private SlotExperiment() {}
 
@@ -42,7 +42,7 @@
             return;
         }
         policies(seeds);
-        badWorkers(seeds);
+        failingWorkers(seeds);
         overload(seeds);
         poison(seeds);
         failures(seeds);
@@ -50,14 +50,14 @@
     }
 
     private static SimFleet run(long seed, SimPolicy policy, double load, Consumer<SimFleet> setUp) {
-        SimFleet f = new SimFleet(seed, policy, load);
-        setUp.accept(f);
-        f.time.runUntil(RUN);
-        f.countGoodEjected();
-        return f;
+        SimFleet fleet = new SimFleet(seed, policy, load);
+        setUp.accept(fleet);
+        fleet.time.runUntil(RUN_MILLIS);
+        fleet.countHealthyEjected();
+        return fleet;
     }
 
-    private static void row(String name, long[] seeds, SimPolicy policy, double load, Consumer<SimFleet> setUp) {
+    private static void printRow(String name, long[] seeds, SimPolicy policy, double load, Consumer<SimFleet> setUp) {
         double p50 = 0;
         double normal = 0;
         double mayWait = 0;
@@ -69,27 +69,27 @@
         double failed = 0;
         double lost = 0;
         double ejected = 0;
-        long low = Long.MAX_VALUE;
-        long high = 0;
+        long lowestP99 = Long.MAX_VALUE;
+        long highestP99 = 0;
         double p99 = 0;
         for (long seed : seeds) {
-            SimFleet f = run(seed, policy, load, setUp);
-            SimFigures g = f.figures;
-            long u = g.wait(Urgency.URGENT, 99);
-            p50 += g.wait(Urgency.URGENT, 50);
-            p99 += u;
-            low = Math.min(low, u);
-            high = Math.max(high, u);
-            normal += g.wait(Urgency.NORMAL, 99);
-            mayWait += g.wait(Urgency.MAY_WAIT, 99);
+            SimFleet fleet = run(seed, policy, load, setUp);
+            SimStatistics g = fleet.statistics;
+            long urgentP99 = g.waitPercentile(Urgency.URGENT, 99);
+            p50 += g.waitPercentile(Urgency.URGENT, 50);
+            p99 += urgentP99;
+            lowestP99 = Math.min(lowestP99, urgentP99);
+            highestP99 = Math.max(highestP99, urgentP99);
+            normal += g.waitPercentile(Urgency.NORMAL, 99);
+            mayWait += g.waitPercentile(Urgency.MAY_WAIT, 99);
             refusals += g.perJob(g.refusals);
             moves += g.perJob(Math.max(0, g.attempts - g.jobs));
             messages += g.perJob(g.messages);
-            bytes += g.bytes / (RUN / 1_000.0) / 9;
-            used += f.shareUsed(0, RUN);
+            bytes += g.bytes / (RUN_MILLIS / 1_000.0) / 9;
+            used += fleet.shareUsed(0, RUN_MILLIS);
             failed += g.failedForCaller;
             lost += g.lost;
-            ejected += g.goodEjected;
+            ejected += g.healthyEjected;
         }
         int n = seeds.length;
         System.out.printf(
@@ -99,8 +99,8 @@
                 load,
                 p50 / n,
                 p99 / n,
-                low,
-                high,
+                lowestP99,
+                highestP99,
                 normal / n,
                 mayWait / n,
                 refusals / n,
@@ -113,7 +113,7 @@
                 ejected / n);
     }
 
-    private static void head(String title) {
+    private static void printHeader(String title) {
         System.out.println("\n### " + title + "\n");
         System.out.println(
                 "| case | load | urgent p50 ms | urgent p99 ms (spread) | normal p99 | may-wait p99 "
@@ -122,19 +122,25 @@
     }
 
     private static void policies(long[] seeds) {
-        head("Who grants the slots");
+        printHeader("Who grants the slots");
         for (double load : new double[] {0.5, 0.7, 0.9, 0.97}) {
-            for (SimPolicy p : SimPolicy.values()) {
-                row(p.name(), seeds, p, load, f -> {});
+            for (SimPolicy policy : SimPolicy.values()) {
+                printRow(policy.name(), seeds, policy, load, fleet -> {});
             }
         }
     }
 
-    private static void badWorkers(long[] seeds) {
-        head("A worker that fails everything it starts, from the first minute");
-        for (SimWorker.Manner m : new SimWorker.Manner[] {SimWorker.Manner.FAILS_FAST, SimWorker.Manner.FAILS_SLOWLY}) {
-            for (SimPolicy p : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
-                row(p + " " + m, seeds, p, 0.7, f -> f.time.after(MINUTE, () -> f.worker("w3").manner = m));
+    private static void failingWorkers(long[] seeds) {
+        printHeader("A worker that fails everything it starts, from the first minute");
+        for (SimWorker.Behaviour behaviour :
+                new SimWorker.Behaviour[] {SimWorker.Behaviour.FAILS_FAST, SimWorker.Behaviour.FAILS_SLOWLY}) {
+            for (SimPolicy policy : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
+                printRow(
+                        policy + " " + behaviour,
+                        seeds,
+                        policy,
+                        0.7,
+                        fleet -> fleet.time.after(MINUTE_MILLIS, () -> fleet.worker("w3").behaviour = behaviour));
             }
         }
     }
@@ -144,9 +150,9 @@
         System.out.println("| policy | factor | goodput/s before | during | urgent p99 ms, whole run "
                 + "| seconds after the load to 95% of before |");
         System.out.println("|---|---|---|---|---|---|");
-        for (SimPolicy p : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
+        for (SimPolicy policy : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
             for (double factor : new double[] {1, 2, 5}) {
-                overloadRow(seeds, p, factor);
+                overloadRow(seeds, policy, factor);
             }
         }
     }
@@ -157,16 +163,16 @@
         double urgent = 0;
         double recovery = 0;
         for (long seed : seeds) {
-            SimFleet f = run(seed, policy, 0.7, x -> {
-                x.time.after(2 * MINUTE, () -> x.load = factor);
-                x.time.after(4 * MINUTE, () -> x.load = 0.7);
+            SimFleet fleet = run(seed, policy, 0.7, x -> {
+                x.time.after(2 * MINUTE_MILLIS, () -> x.load = factor);
+                x.time.after(4 * MINUTE_MILLIS, () -> x.load = 0.7);
             });
-            long[] g = f.figures.goodputBySecond;
-            double b = mean(g, 30, 120);
-            before += b;
+            long[] g = fleet.statistics.goodputBySecond;
+            double goodputBefore = mean(g, 30, 120);
+            before += goodputBefore;
             during += mean(g, 125, 240);
-            urgent += f.figures.wait(Urgency.URGENT, 99);
-            recovery += secondsToReach(g, 240, 0.95 * b);
+            urgent += fleet.statistics.waitPercentile(Urgency.URGENT, 99);
+            recovery += secondsToReach(g, 240, 0.95 * goodputBefore);
         }
         int n = seeds.length;
         System.out.printf(
@@ -184,9 +190,9 @@
         return Arrays.stream(perSecond, from, until).average().orElse(0);
     }
 
-    private static int secondsToReach(long[] perSecond, int from, double level) {
+    private static int secondsToReach(long[] perSecond, int from, double target) {
         for (int s = from; s < 590; s++) {
-            if (mean(perSecond, s, s + 10) >= level) {
+            if (mean(perSecond, s, s + 10) >= target) {
                 return s - from;
             }
         }
@@ -199,73 +205,78 @@
         System.out.println("| policy | attempts until the final verdict, p50 | p99 | most | good ejected "
                 + "| good jobs failed of all |");
         System.out.println("|---|---|---|---|---|---|");
-        for (SimPolicy p : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
-            SimFleet f = run(seeds[0], p, 0.7, x -> x.poisonShare = 0.05);
-            SimFigures g = f.figures;
+        for (SimPolicy policy : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
+            SimFleet fleet = run(seeds[0], policy, 0.7, x -> x.poisonShare = 0.05);
+            SimStatistics g = fleet.statistics;
             System.out.printf(
                     Locale.ROOT,
                     "| %s | %d | %d | %d | %d | %d of %d |%n",
-                    p,
+                    policy,
                     g.poisonAttempts.getValueAtPercentile(50),
                     g.poisonAttempts.getValueAtPercentile(99),
                     g.poisonAttempts.getMaxValue(),
-                    g.goodEjected,
+                    g.healthyEjected,
                     g.failedForCaller,
                     g.jobs);
         }
     }
 
     private static void failures(long[] seeds) {
-        head("Failures of entries and halls, at load 0.7, one of each kind from minute 3");
-        SimPolicy p = SimPolicy.REGION_OWNER;
-        row("none", seeds, p, 0.7, f -> {});
-        row("owner killed", seeds, p, 0.7, f -> f.time.after(3 * MINUTE, () -> f.kill(ownerOf(f))));
-        row(
+        printHeader("Failures of entries and halls, at load 0.7, one of each kind from minute 3");
+        SimPolicy policy = SimPolicy.REGION_OWNER;
+        printRow("none", seeds, policy, 0.7, fleet -> {});
+        printRow(
+                "owner killed",
+                seeds,
+                policy,
+                0.7,
+                fleet -> fleet.time.after(3 * MINUTE_MILLIS, () -> fleet.kill(ownerOf(fleet))));
+        printRow(
                 "owner frozen for 30 s",
                 seeds,
-                p,
+                policy,
                 0.7,
-                f -> f.time.after(3 * MINUTE, () -> {
-                    String owner = ownerOf(f);
-                    f.freeze(owner);
-                    f.time.after(30_000, () -> f.thaw(owner));
+                fleet -> fleet.time.after(3 * MINUTE_MILLIS, () -> {
+                    String owner = ownerOf(fleet);
+                    fleet.freeze(owner);
+                    fleet.time.after(30_000, () -> fleet.unfreeze(owner));
                 }));
-        row(
+        printRow(
                 "hall cut off for 60 s",
                 seeds,
-                p,
+                policy,
                 0.7,
-                f -> f.time.after(3 * MINUTE, () -> {
-                    f.cut("hall0", true);
-                    f.time.after(60_000, () -> f.cut("hall0", false));
+                fleet -> fleet.time.after(3 * MINUTE_MILLIS, () -> {
+                    fleet.setCut("hall0", true);
+                    fleet.time.after(60_000, () -> fleet.setCut("hall0", false));
                 }));
     }
 
     // The load is set so that the slots' use stays near 0.7 with the longer runs.
     private static void wrongRunTimes(long[] seeds) {
-        head("Run times far off what was learned");
-        for (SimPolicy p : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
+        printHeader("Run times far off what was learned");
+        for (SimPolicy policy : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
             // A deadline that the longer runs meet: else they expire while they run and are tried again.
-            row(p + " ten times longer from minute 2 to 4", seeds, p, 0.7, f -> {
-                f.deadlineMillis = RUN;
-                f.time.after(2 * MINUTE, () -> {
-                    f.runFactor = 10;
-                    f.load = 0.07;
+            printRow(policy + " ten times longer from minute 2 to 4", seeds, policy, 0.7, fleet -> {
+                fleet.deadlineMillis = RUN_MILLIS;
+                fleet.time.after(2 * MINUTE_MILLIS, () -> {
+                    fleet.runFactor = 10;
+                    fleet.load = 0.07;
                 });
-                f.time.after(4 * MINUTE, () -> {
-                    f.runFactor = 1;
-                    f.load = 0.7;
+                fleet.time.after(4 * MINUTE_MILLIS, () -> {
+                    fleet.runFactor = 1;
+                    fleet.load = 0.7;
                 });
             });
             // The mean of ten to a power evenly from -1 to 1 is 2.15.
-            row(p + " each off by up to ten either way", seeds, p, 0.7 / 2.15, f -> {
-                f.deadlineMillis = RUN;
-                f.runsOff = true;
+            printRow(policy + " each off by up to ten either way", seeds, policy, 0.7 / 2.15, fleet -> {
+                fleet.deadlineMillis = RUN_MILLIS;
+                fleet.varyRunTimes = true;
             });
         }
     }
 
-    private static String ownerOf(SimFleet f) {
-        return f.busiestOwner();
+    private static String ownerOf(SimFleet fleet) {
+        return fleet.busiestOwner();
     }
 }
