--- a/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimRecord.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/claim/ClaimRecord.java
@@ -16,15 +16,15 @@
 package org.lupinpaddle.daemon.claim;
 
 /**
- * The claim of one try on an unsafe job.
+ * The claim of one try on a job that is not safe to repeat.
  *
- * @param writeId the id of the try that claims
- * @param entry the entry that claimed
- * @param notRun whether the claimant has said that it sent nothing and will send nothing
+ * @param writeId the id of the try
+ * @param entry the entry that made the claim
+ * @param notRun whether the holder has declared that it sent nothing to a worker and will send nothing
  */
 public record ClaimRecord(String writeId, String entry, boolean notRun) {
 
-    /** Returns the claim given back. */
+    /** Returns this claim marked as not run. */
     public ClaimRecord released() {
         return new ClaimRecord(writeId, entry, true);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/claim/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/claim/package-info.java
@@ -1,4 +1,4 @@
-/** Claims on unsafe jobs, kept in the platform's store. */
+/** Claims in the platform's store, which prevent that a job which is not repeatable runs twice. */
 @NullMarked
 package org.lupinpaddle.daemon.claim;
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotFrames.java
@@ -31,7 +31,7 @@
 import org.lupinpaddle.daemon.peer.proto.SlotRelease;
 import org.lupinpaddle.daemon.peer.proto.SlotsInUse;
 
-/** Turns the slots' messages into frames and back. */
+/** Converts slot messages to frames of the peer protocol and back. */
 final class SlotFrames {
 
     private SlotFrames() {}
@@ -76,7 +76,7 @@
         return frame.build();
     }
 
-    /** Returns the message in a frame, or null where the frame holds none of ours. */
+    /** Returns the slot message in a frame, or null if the frame has another type. */
     static @Nullable SlotMessage decode(Frame frame) {
         return switch (frame.getBodyCase()) {
             case SLOT_ASK -> decode(frame.getSlotAsk());
@@ -141,7 +141,7 @@
         return new SlotMessage.Grant(g.getId(), g.getWorker());
     }
 
-    // A newer version may send a value that this one does not know.
+    // A peer with a newer version may send a value that is unknown to this version.
     private static <T> T byOrdinal(T[] values, int ordinal, T defaultValue) {
         return ordinal >= 0 && ordinal < values.length ? values[ordinal] : defaultValue;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
@@ -39,8 +39,8 @@
 import org.lupinpaddle.daemon.peer.proto.Frame;
 
 /**
- * Carries the slots' decisions: this entry's desk, and the owners of those services whose slots this entry
- * is asked for. Messages to this entry itself take the same way as those to others, without the wire.
+ * Runs the slot logic of an entry: its desk, which asks for slots, and the owners of the services whose slots this entry
+ * grants. Messages to this entry itself are handled like those to other entries, but without being encoded.
  */
 public final class SlotHost {
 
@@ -59,9 +59,9 @@
     private boolean delivering;
 
     /**
-     * Makes the host of an entry.
+     * Creates the host of an entry.
      *
-     * @param workersByService gives the workers of a service as now known
+     * @param workersByService returns the currently known workers of a service
      * @param sender sends a frame to another entry
      */
     public SlotHost(
@@ -81,7 +81,7 @@
         this.desk = new SlotDesk(self, hall);
     }
 
-    /** Asks for a slot and returns the ask's number; the reply comes later, or at once from within. */
+    /** Asks for a slot and returns the number of the ask; the listener may be called before this method returns. */
     public long ask(SlotDesk.Need need, SlotReplyListener listener) {
         List<Outgoing> out = new ArrayList<>();
         long ask = desk.ask(need, clock.millis(), out);
@@ -90,20 +90,20 @@
         return ask;
     }
 
-    /** Takes an ask back; its reply does not come any more. */
+    /** Cancels an ask; its listener is not called any more. */
     public void cancel(long ask) {
         pendingAsks.remove(ask);
         deliver(desk.cancel(ask));
     }
 
-    /** Gives a grant back. */
+    /** Releases a granted slot and reports the outcome of the attempt that used it. */
     public void release(String service, Grant grant, AttemptOutcome outcome) {
         metrics.counter("attempts." + outcome.name().toLowerCase(java.util.Locale.ROOT))
                 .inc();
         deliver(desk.release(service, grant, outcome, clock.millis()));
     }
 
-    /** Takes a frame of another entry; returns whether it was about slots. */
+    /** Handles a frame from another entry; returns false if it is not a slot message. */
     public boolean onFrame(String from, Frame frame) {
         SlotMessage message = SlotFrames.decode(frame);
         if (message == null) {
@@ -113,7 +113,7 @@
         return true;
     }
 
-    /** Takes the entries of the region that are reachable and serve. */
+    /** Updates the set of entries in the region that are reachable and serving. */
     public void onReachable(Set<String> entries) {
         long now = clock.millis();
         Set<String> unreachable = new HashSet<>(reachable);
@@ -125,20 +125,20 @@
         deliver(desk.onReachable(entries, now));
     }
 
-    /** Tells the owners of the workers as now known. */
+    /** Passes the currently known workers to the owners. */
     public void onWorkersChanged() {
         long now = clock.millis();
         owners.forEach((service, owner) -> deliver(owner.onWorkers(workersByService.apply(service), now)));
     }
 
-    /** Lets time pass. */
+    /** Runs the time-dependent steps of the desk and the owners. */
     public void onTick() {
         long now = clock.millis();
         deliver(desk.onTick(now));
         owners.values().forEach(owner -> deliver(owner.onTick(now)));
     }
 
-    /** Returns the workers that this entry has ejected as owner, by service. */
+    /** Returns the workers that the owners on this entry have ejected, by service. */
     public Map<String, List<String>> ejected() {
         Map<String, List<String>> all = new TreeMap<>();
         owners.forEach((service, owner) -> all.put(service, owner.ejected()));
@@ -146,12 +146,12 @@
         return all;
     }
 
-    /** Returns how many asks wait in the queues that this entry owns. */
+    /** Returns the number of asks in the queues of the owners on this entry. */
     public int queueLength() {
         return owners.values().stream().mapToInt(SlotOwner::queueLength).sum();
     }
 
-    /** Returns how many grants are out of the owners on this entry. */
+    /** Returns the number of grants in use that the owners on this entry have given. */
     public int grantsInUse() {
         return owners.values().stream().mapToInt(SlotOwner::grantsInUse).sum();
     }
@@ -178,7 +178,7 @@
         if (listener != null) {
             listener.onReply(reply);
         } else if (reply instanceof SlotDesk.Reply.Slot) {
-            throw new IllegalStateException("a slot for an ask that nobody waits for: " + reply.ask());
+            throw new IllegalStateException("slot granted for an unknown ask: " + reply.ask());
         }
     }
 
@@ -190,7 +190,7 @@
         });
     }
 
-    // Messages to this entry itself may cause more of them: they are taken in turn, not nested.
+    // Handling a message to this entry itself may produce further messages; the queue avoids nested handling.
     private void deliver(List<Outgoing> messages) {
         outbox.addAll(messages);
         if (delivering) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplyListener.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplyListener.java
@@ -17,10 +17,10 @@
 
 import org.lupinpaddle.core.slot.SlotDesk;
 
-/** Takes the reply to an ask for a slot; called once on the event loop. */
+/** Receives the reply to an ask for a slot; called at most once, on the event loop. */
 @FunctionalInterface
 public interface SlotReplyListener {
 
-    /** Takes the reply. */
+    /** Called with the granted slot or the refusal. */
     void onReply(SlotDesk.Reply reply);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/package-info.java
@@ -1,4 +1,4 @@
-/** Carries the slots' decisions between entries. */
+/** Connects the slot logic of the core to the other entries: encodes, sends and receives its messages. */
 @NullMarked
 package org.lupinpaddle.daemon.slot;
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/ConfirmedRevisions.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/ConfirmedRevisions.java
@@ -19,14 +19,14 @@
 import java.util.OptionalLong;
 import java.util.TreeMap;
 
-/** Remembers when all entries had confirmed which revision of the configuration. */
+/** Records when each revision of the configuration was first confirmed by all entries. */
 final class ConfirmedRevisions {
 
     private static final int MAX_ENTRIES = 1_000;
 
     private final TreeMap<Long, Long> firstConfirmedAt = new TreeMap<>();
 
-    /** Notes that every entry has at least {@code revision} in force at {@code now}. */
+    /** Records that at {@code now} every entry has at least {@code revision} in force. */
     void record(long revision, long now) {
         if (firstConfirmedAt.isEmpty() || revision > firstConfirmedAt.lastKey()) {
             firstConfirmedAt.put(revision, now);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverObservation.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverObservation.java
@@ -22,18 +22,18 @@
 import org.lupinpaddle.core.wave.Sight;
 
 /**
- * The fleet as one driver sees it at one look.
+ * The state of the fleet as observed by a driver in one polling step.
  *
- * @param probe what workers last said
- * @param confirmedRevisions when all entries had confirmed which revision
- * @param undrainTimes when the platform accepted which undrain
- * @param maxRebootMillis how long a reboot may take
+ * @param probe the last probe results of the workers
+ * @param confirmedRevisions when all entries had confirmed each revision
+ * @param undrainTimes when the platform accepted each undrain call
+ * @param maxRebootMillis the time after which a reboot is overdue
  */
 record DriverObservation(
         WorkerProbe probe, ConfirmedRevisions confirmedRevisions, Map<Undrain, Long> undrainTimes, long maxRebootMillis)
         implements FleetSight {
 
-    /** An undrain under a fence. */
+    /** An undrain call with its fencing token. */
     record Undrain(String instance, long fence) {}
 
     @Override
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
@@ -52,9 +52,9 @@
 import org.lupinpaddle.daemon.platform.WriteResult;
 
 /**
- * Drives the waves that this entry holds the lease of. Which entry tries for a wave's lease follows from
- * rendezvous hashing among those that hear the platform; the lease keeps two drivers from doing the same
- * work twice, and safety does not rest on it. Each look decides anew from the view and from probes.
+ * Executes the waves whose leases this entry holds. Rendezvous hashing among the entries that can reach the platform selects
+ * the entry that tries to acquire the lease of a wave. The lease only prevents duplicate work; safety does not depend on
+ * it. Each polling step decides from scratch, based on the current view and on probes.
  */
 public final class WaveDriver {
 
@@ -81,7 +81,7 @@
     private final Set<String> pendingWrites = new HashSet<>();
     private long lastFullProbe = Long.MIN_VALUE / 2;
 
-    /** Makes the driver of an entry; {@code maxRebootMillis} is how long a reboot may take. */
+    /** Creates the driver of an entry; a reboot is overdue after {@code maxRebootMillis}. */
     public WaveDriver(
             String self,
             Platform platform,
@@ -105,7 +105,7 @@
         this.probe = new WorkerProbe(client, loop);
     }
 
-    /** Starts looking; call on the loop. */
+    /** Starts polling; must be called on the event loop. */
     public void start() {
         loop.every(POLL_INTERVAL_MILLIS, () -> config.whenFresh(this::poll));
     }
@@ -125,7 +125,7 @@
         reconcile(view);
     }
 
-    // Counted are all registered entries and all that are heard: one that lost its lease may still serve.
+    // Includes reachable entries that are not registered: an entry that lost its lease may still be serving.
     private void updateConfirmedRevision() {
         long lowestRevision = config.view().contentRevision();
         for (PeerState peer : membership.peers()) {
@@ -184,8 +184,8 @@
         actions.forEach(this::execute);
     }
 
-    // Those that are out are looked at often, for each step waits for one of them; the other members of
-    // their services more rarely, for they are only counted.
+    // Instances that are out of service are probed in every step, because the wave waits for them. The other members of
+    // their services are only counted, so they are probed less often.
     private void probeFor(List<WaveRecord> drivenWaves) {
         long now = loop.clock().millis();
         boolean fullProbe = now - lastFullProbe >= PROBE_ALL_INTERVAL_MILLIS;
@@ -237,7 +237,7 @@
             if (result.fate() != WriteResult.Fate.ACCEPTED) {
                 Log.info("wave-write", "key", key, "fate", result.fate().wireName());
             }
-            // The next decision on this record needs what was written.
+            // The next decision on this record must see the new value.
             config.refresh(() -> pendingWrites.remove(key));
         });
     }
@@ -283,7 +283,7 @@
                 failure != null ? "unknown" : String.valueOf(result));
     }
 
-    // Joiners are counted also while no wave runs, by one entry for each service.
+    // New members are added to the service records even if no wave is running, by one entry per service.
     private void reconcile(FleetView view) {
         for (ServiceRecord service : view.services().values()) {
             String key = StoreKeys.service(service.name());
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
@@ -33,12 +33,12 @@
 import org.lupinpaddle.core.wave.Sight;
 import org.lupinpaddle.daemon.common.EventLoop;
 
-/** Asks workers for their state and keeps what each last said. */
+/** Queries workers for their state and stores the last result of each. */
 final class WorkerProbe {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long PROBE_TIMEOUT_MILLIS = 1_000;
-    // Two probes missed in a row and some time on top: one lost probe is no failure.
+    // Two missed probes in a row plus some margin, so that a single lost probe is not taken for a failure.
     private static final long FAILED_AFTER_MILLIS = 2_500;
     private static final int MAX_RESPONSE_BYTES = 65_536;
     private static final int OK = 200;
@@ -55,7 +55,7 @@
         this.loop = loop;
     }
 
-    /** Sends a probe to a worker unless one is under way. */
+    /** Sends a probe to a worker unless one is already in flight. */
     void probe(InstanceRecord instance) {
         trackReboot(instance);
         if (!inFlight.add(instance.id())) {
@@ -115,17 +115,17 @@
                 id, new Sight(previous.incarnation(), false, previous.leaving(), previous.running(), sentAt));
     }
 
-    /** Returns what a worker last said. */
+    /** Returns the last known state of a worker. */
     Sight lastObservation(String instance) {
         return lastObservations.getOrDefault(instance, Sight.NONE);
     }
 
-    /** Returns those that have been silent for long enough to count as failed. */
+    /** Returns the workers that have not responded for long enough to count as failed. */
     Set<String> failed() {
         return longerThan(unreachableSince, FAILED_AFTER_MILLIS);
     }
 
-    /** Returns those whose reboot this driver has waited for longer than {@code millis}. */
+    /** Returns the instances whose reboot has taken longer than {@code millis} since this driver first saw it. */
     Set<String> overdue(long millis) {
         return longerThan(rebootingSince, millis);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/package-info.java
@@ -1,4 +1,4 @@
-/** Drives waves: carries the stepper's actions to the store and to the platform. */
+/** Executes waves: writes the wave stepper's decisions to the store and sends its maintenance calls to the platform. */
 @NullMarked
 package org.lupinpaddle.daemon.wave;
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
@@ -35,7 +35,7 @@
 import org.lupinpaddle.core.slot.SlotMessage.Outgoing;
 import org.lupinpaddle.core.slot.SlotOwner;
 
-/** One entry: the product's request machines, desk and owner, on virtual time; or the baseline's own choice. */
+/** A simulated entry: the real request machines, desk and owner on virtual time, or the baseline policy instead. */
 final class SimEntry {
 
     private static final String SERVICE = "clips";
@@ -67,7 +67,7 @@
         this.owner = new SlotOwner(SERVICE, QUEUE_CAPACITY, fleet.random);
     }
 
-    /** One try of a job at this entry. */
+    /** One submission of a job to this entry. */
     private final class Run {
         private final SimJob job;
         private final CallerRequest request;
@@ -160,7 +160,7 @@
             if (o == AttemptOutcome.REFUSED_FULL) {
                 fleet.statistics.refusals++;
                 if (fleet.policy == SimPolicy.TWO_CHOICES && !machine.isAnswered()) {
-                    // The baseline expects refusals: they go back to its queue and cost no retry.
+                    // The baseline expects refusals: refused jobs return to its queue and do not count as retries.
                     inFlight.merge(worker, -1, Integer::sum);
                     sendAgain = true;
                     queue.add(this);
@@ -197,7 +197,7 @@
         }
     }
 
-    /** Takes a job of a caller. */
+    /** Accepts a job from a caller. */
     void accept(SimJob job, long deadlineMillis) {
         deliver(() -> {
             Run r = new Run(job, deadlineMillis);
@@ -206,7 +206,7 @@
         });
     }
 
-    /** Gives something to this entry; while it is frozen it takes nothing in, once dead never again. */
+    /** Runs a task on this entry, or defers it while the entry is frozen; a dead entry drops it. */
     void deliver(Runnable task) {
         if (dead) {
             return;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
@@ -28,8 +28,8 @@
 import org.lupinpaddle.core.slot.WorkerInfo;
 
 /**
- * Both deployments' size of today for one service: nine entries and eight workers of eight slots over four
- * halls. Callers come at random, choose any entry, and come back as they are told, a few times at most.
+ * A simulated service in the current size of both deployments: nine entries and eight workers with eight slots each, in
+ * four halls. Callers arrive at random, choose a random entry and retry a few times after the delay they are told.
  */
 final class SimFleet {
 
@@ -47,9 +47,9 @@
     final SimStatistics statistics = new SimStatistics();
     double load;
     double poisonShare;
-    /** By how much each run is longer than callers and the owner's mean expect. */
+    /** Factor by which runs take longer than callers and the owner's learned mean expect. */
     double runFactor = 1;
-    /** Whether each run is off by up to ten times either way. */
+    /** Whether each run time is multiplied by a random factor from 0.1 to 10. */
     boolean varyRunTimes;
 
     long deadlineMillis = 30_000;
@@ -184,7 +184,7 @@
 
     void kill(String id) {
         entry(id).dead = true;
-        // A killed process closes its connections, so this is noticed at once.
+        // A killed process closes its connections, so that the others detect it at once.
         time.after(1, this::detectFailures);
     }
 
@@ -204,7 +204,7 @@
         }
     }
 
-    /** Returns the entry that owns the slots now. */
+    /** Returns the entry whose owner has the most grants in use. */
     String busiestOwner() {
         return entries.values().stream()
                 .max(java.util.Comparator.comparingInt(entry -> entry.owner.grantsInUse()))
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
@@ -17,7 +17,7 @@
 
 import org.lupinpaddle.core.common.Urgency;
 
-/** One piece of work of a caller, which may try it several times. */
+/** A job of a caller, who may submit it several times. */
 final class SimJob {
 
     final Urgency urgency;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimPolicy.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimPolicy.java
@@ -15,12 +15,12 @@
  */
 package org.lupinpaddle.daemon.slot;
 
-/** Who grants a worker's slots. */
+/** Policies for granting the slots of workers. */
 enum SimPolicy {
-    /** One owner for each service in the region; its queue orders all entries' asks. What the product does. */
+    /** One owner per service and region, whose queue orders the asks of all entries. This is the implemented policy. */
     REGION_OWNER,
-    /** One owner for each service in each data hall, for that hall's workers and entries alone. */
+    /** One owner per service and data hall, only for the workers and entries of that hall. */
     HALL_OWNERS,
-    /** No owner: each entry takes the less busy of two workers by its own count, and queues by itself. */
+    /** No owner: each entry picks the less busy of two random workers by its own count and has its own queue. */
     TWO_CHOICES
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimStatistics.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimStatistics.java
@@ -20,7 +20,7 @@
 import org.HdrHistogram.Histogram;
 import org.lupinpaddle.core.common.Urgency;
 
-/** What one run of the experiment counted. Waits are from a job's birth to its start on a worker, in ms. */
+/** Statistics of one run of the experiment. Waits are in ms from a job's creation to its start on a worker. */
 final class SimStatistics {
 
     private static final long MAX_WAIT_MILLIS = 3_600_000;
@@ -30,7 +30,7 @@
     long jobs;
     long answered;
     long failedForCaller;
-    /** Answered with the failure of a worker that fails everything. */
+    /** Jobs answered with the failure of a worker that fails every job. */
     long lost;
 
     long refusals;
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimTime.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimTime.java
@@ -18,7 +18,7 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Virtual time: steps run in the order of their times, and of their making where times are equal. */
+/** Virtual time with an event queue. Events run in the order of their times; ties run in the order of scheduling. */
 final class SimTime {
 
     private record Event(long at, long number, Runnable action) {}
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
@@ -18,15 +18,14 @@
 import java.util.function.Consumer;
 import org.lupinpaddle.core.request.AttemptOutcome;
 
-/** One worker with its slots: runs, refuses when full, and fails as it is told. */
+/** A simulated worker: runs jobs in its slots, refuses jobs when all are taken and fails according to its behaviour. */
 final class SimWorker {
 
-    /** How a worker behaves. */
     enum Behaviour {
         HEALTHY,
-        /** Fails everything after a millisecond. */
+        /** Fails every job after one millisecond. */
         FAILS_FAST,
-        /** Fails everything after the time it would have run. */
+        /** Fails every job after its normal run time. */
         FAILS_SLOWLY
     }
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SlotExperiment.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SlotExperiment.java
@@ -21,9 +21,9 @@
 import org.lupinpaddle.core.common.Urgency;
 
 /**
- * Prints the measurements of the slots' decisions as tables in Markdown. Arguments are seeds; each row is
- * the mean over the seeds, with the lowest and highest urgent p99 as spread. All rows of a table use the
- * same seeds and virtual time, so they compare policies and not machines.
+ * Simulates slot policies and prints the results as Markdown tables. The arguments are seeds; each row is the mean over the
+ * seeds, with the lowest and highest urgent p99 as spread. All rows of a table use the same seeds and virtual time, so that
+ * they compare policies independently of the machine.
  */
 public final class SlotExperiment {
 
@@ -32,7 +32,7 @@
 
     private SlotExperiment() {}
 
-    /** Runs all tables for the seeds given, or for three fixed ones. */
+    /** Prints all tables for the given seeds, or for three fixed seeds. */
     public static void main(String[] args) {
         long[] seeds = args.length == 0
                 ? new long[] {1, 2, 3}
@@ -252,11 +252,11 @@
                 }));
     }
 
-    // The load is set so that the slots' use stays near 0.7 with the longer runs.
+    // The load is reduced so that slot utilization stays near 0.7 with the longer runs.
     private static void wrongRunTimes(long[] seeds) {
         printHeader("Run times far off what was learned");
         for (SimPolicy policy : new SimPolicy[] {SimPolicy.REGION_OWNER, SimPolicy.TWO_CHOICES}) {
-            // A deadline that the longer runs meet: else they expire while they run and are tried again.
+            // The deadline allows for the longer runs, which would otherwise expire while running and be retried.
             printRow(policy + " ten times longer from minute 2 to 4", seeds, policy, 0.7, fleet -> {
                 fleet.deadlineMillis = RUN_MILLIS;
                 fleet.time.after(2 * MINUTE_MILLIS, () -> {
@@ -268,7 +268,7 @@
                     fleet.load = 0.7;
                 });
             });
-            // The mean of ten to a power evenly from -1 to 1 is 2.15.
+            // 2.15 is the mean of 10^x for x uniformly distributed from -1 to 1.
             printRow(policy + " each off by up to ten either way", seeds, policy, 0.7 / 2.15, fleet -> {
                 fleet.deadlineMillis = RUN_MILLIS;
                 fleet.varyRunTimes = true;
