--- a/daemon/src/main/java/org/lupinpaddle/daemon/EntryPeers.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/EntryPeers.java
@@ -286,7 +286,7 @@
 
     @Override
     public void onGone(String id) {
-        membership.onGone(id);
+        membership.onDisconnected(id);
         noteReachable();
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
@@ -33,10 +33,10 @@
 public final class Membership {
 
     // An entry that is neither registered nor heard for this long is forgotten.
-    private static final long FORGET_MILLIS = 60_000;
+    private static final long FORGET_AFTER_MILLIS = 60_000;
     // Heartbeats between regions are rarer, to stay within the bytes a node may spend on control.
-    private static final int FAR_HEARTBEAT_FACTOR = 5;
-    private static final double MISSED_HEARTBEATS = 2.5;
+    private static final int INTER_REGION_HEARTBEAT_FACTOR = 5;
+    private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
     private final String selfId;
     private final String region;
@@ -55,47 +55,49 @@
     /** Takes the registrations as read from the store. */
     public void onRegistrations(List<StoredRecord> records) {
         Set<String> registered = new HashSet<>();
-        for (StoredRecord r : records) {
-            RecordCodec.read(r.value(), EntryRecord.class).forEach(e -> {
-                if (!e.id().equals(selfId)) {
-                    registered.add(e.id());
-                    know(e.id(), e.hall(), e.region(), e.peerAddress());
+        for (StoredRecord record : records) {
+            RecordCodec.read(record.value(), EntryRecord.class).forEach(entry -> {
+                if (!entry.id().equals(selfId)) {
+                    registered.add(entry.id());
+                    addOrReplace(entry.id(), entry.hall(), entry.region(), entry.peerAddress());
                 }
             });
         }
-        peers.replaceAll((id, p) -> p.withRegistered(registered.contains(id)));
+        peers.replaceAll((id, peer) -> peer.withRegistered(registered.contains(id)));
         long now = clock.millis();
-        peers.values().removeIf(p -> !p.registered() && now - p.lastHeard() > FORGET_MILLIS);
+        peers.values().removeIf(peer -> !peer.registered() && now - peer.lastSeen() > FORGET_AFTER_MILLIS);
     }
 
     /** Takes an entry's greeting. */
-    public void onHello(String id, String hall, String itsRegion, String address) {
+    public void onHello(String id, String hall, String peerRegion, String address) {
         if (!id.equals(selfId)) {
-            know(id, hall, itsRegion, address);
+            addOrReplace(id, hall, peerRegion, address);
             // A greeting counts as heard: an entry that is not registered yet must not be forgotten before
             // its first heartbeat, since it greets only once.
             long now = clock.millis();
-            peers.computeIfPresent(id, (k, p) -> p.heard(now, 0, p.serving(), p.platformOk(), p.leaving()));
+            peers.computeIfPresent(
+                    id,
+                    (ignored, peer) -> peer.withHeartbeat(now, 0, peer.serving(), peer.platformOk(), peer.leaving()));
         }
     }
 
-    private void know(String id, String hall, String itsRegion, String address) {
-        PeerState old = peers.get(id);
-        if (old == null || !old.address().equals(address)) {
-            boolean registered = old != null && old.registered();
-            peers.put(id, PeerState.unheard(id, hall, itsRegion, address).withRegistered(registered));
+    private void addOrReplace(String id, String hall, String peerRegion, String address) {
+        PeerState previous = peers.get(id);
+        if (previous == null || !previous.address().equals(address)) {
+            boolean registered = previous != null && previous.registered();
+            peers.put(id, PeerState.initial(id, hall, peerRegion, address).withRegistered(registered));
         }
     }
 
     /** Takes an entry's heartbeat. */
     public void onHeartbeat(String id, long revision, boolean serving, boolean platformOk, Map<String, Long> leaving) {
         long now = clock.millis();
-        peers.computeIfPresent(id, (k, p) -> p.heard(now, revision, serving, platformOk, leaving));
+        peers.computeIfPresent(id, (ignored, peer) -> peer.withHeartbeat(now, revision, serving, platformOk, leaving));
     }
 
     /** Notes that an entry's connection has broken off. */
-    public void onGone(String id) {
-        peers.computeIfPresent(id, (k, p) -> p.gone());
+    public void onDisconnected(String id) {
+        peers.computeIfPresent(id, (ignored, peer) -> peer.disconnected());
     }
 
     /** Returns all entries known but this one. */
@@ -109,28 +111,28 @@
     }
 
     /** Returns whether an entry was heard lately. */
-    public boolean isReachable(PeerState p) {
-        return clock.millis() - p.lastHeard() <= heartbeatMillis(p) * MISSED_HEARTBEATS;
+    public boolean isReachable(PeerState peer) {
+        return clock.millis() - peer.lastSeen() <= heartbeatMillis(peer) * MAX_MISSED_HEARTBEATS;
     }
 
     /** Returns the time between two heartbeats to an entry, in milliseconds. */
-    public long heartbeatMillis(PeerState p) {
-        return p.region().equals(region) ? heartbeatMillis : heartbeatMillis * FAR_HEARTBEAT_FACTOR;
+    public long heartbeatMillis(PeerState peer) {
+        return peer.region().equals(region) ? heartbeatMillis : heartbeatMillis * INTER_REGION_HEARTBEAT_FACTOR;
     }
 
     /** Returns whether a data hall belongs to this region, as far as any entry of the hall has said. */
     public boolean mayBeInRegion(String hall) {
         return peers.values().stream()
-                .filter(p -> p.hall().equals(hall))
+                .filter(peer -> peer.hall().equals(hall))
                 .findFirst()
-                .map(p -> p.region().equals(region))
+                .map(peer -> peer.region().equals(region))
                 .orElse(true);
     }
 
     /** Returns the entries of this region that are reachable and serve callers. */
     public List<String> servingInRegion() {
         return reachable().stream()
-                .filter(p -> p.serving() && p.region().equals(region))
+                .filter(peer -> peer.serving() && peer.region().equals(region))
                 .map(PeerState::id)
                 .toList();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
@@ -25,7 +25,7 @@
  * @param region its region
  * @param address its peer address
  * @param registered whether its registration stands in the store, as last read
- * @param lastHeard when it was last heard, in milliseconds of this entry's clock; far past where never
+ * @param lastSeen when it was last heard, in milliseconds of this entry's clock; far past where never
  * @param revision the newest record of the configuration that is in force on it
  * @param serving whether it serves callers
  * @param platformOk whether it hears from the platform
@@ -37,32 +37,43 @@
         String region,
         String address,
         boolean registered,
-        long lastHeard,
+        long lastSeen,
         long revision,
         boolean serving,
         boolean platformOk,
         Map<String, Long> leaving) {
 
-    private static final long FAR_PAST = Long.MIN_VALUE / 2;
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
     /** Returns the state of an entry that was not heard yet. */
-    public static PeerState unheard(String id, String hall, String region, String address) {
-        return new PeerState(id, hall, region, address, false, FAR_PAST, 0, false, false, Map.of());
+    public static PeerState initial(String id, String hall, String region, String address) {
+        return new PeerState(id, hall, region, address, false, NEVER, 0, false, false, Map.of());
     }
 
     /** Returns this state with the store's word on the registration. */
-    public PeerState withRegistered(boolean is) {
-        return new PeerState(id, hall, region, address, is, lastHeard, revision, serving, platformOk, leaving);
+    public PeerState withRegistered(boolean newRegistered) {
+        return new PeerState(
+                id, hall, region, address, newRegistered, lastSeen, revision, serving, platformOk, leaving);
     }
 
     /** Returns this state with what a heartbeat said. */
-    public PeerState heard(long now, long newRevision, boolean serves, boolean platform, Map<String, Long> list) {
+    public PeerState withHeartbeat(
+            long now, long newRevision, boolean newServing, boolean newPlatformOk, Map<String, Long> newLeaving) {
         return new PeerState(
-                id, hall, region, address, registered, now, Math.max(revision, newRevision), serves, platform, list);
+                id,
+                hall,
+                region,
+                address,
+                registered,
+                now,
+                Math.max(revision, newRevision),
+                newServing,
+                newPlatformOk,
+                newLeaving);
     }
 
     /** Returns this state as gone, until it is heard again. */
-    public PeerState gone() {
-        return new PeerState(id, hall, region, address, registered, FAR_PAST, revision, false, false, leaving);
+    public PeerState disconnected() {
+        return new PeerState(id, hall, region, address, registered, NEVER, revision, false, false, leaving);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
@@ -32,7 +32,7 @@
 public final class Registration {
 
     private static final long RETRY_MILLIS = 1_500;
-    private static final int KEEP_ALIVES_PER_LEASE = 3;
+    private static final int KEEP_ALIVES_PER_TTL = 3;
 
     private final Platform platform;
     private final StoreWriter writer;
@@ -55,11 +55,11 @@
 
     /** Starts registering; call on the loop. */
     public void start() {
-        makeLease();
+        requestLease();
     }
 
     /** Returns the lease that goes with this entry's life, or 0 while there is none that is known to live. */
-    public long liveLease() {
+    public long validLease() {
         boolean fresh = loop.clock().millis() - confirmedAt < ttlSeconds * 1_000;
         return registered && fresh ? lease : 0;
     }
@@ -73,48 +73,48 @@
         }
     }
 
-    private void makeLease() {
+    private void requestLease() {
         if (stopped) {
             return;
         }
         registered = false;
         lease = 0;
-        long asked = loop.clock().millis();
+        long requestedAt = loop.clock().millis();
         var unused = platform.grantLease(ttlSeconds)
                 .whenComplete((id, failure) -> loop.execute(() -> {
                     if (failure != null) {
-                        loop.after(RETRY_MILLIS, this::makeLease);
+                        loop.after(RETRY_MILLIS, this::requestLease);
                     } else {
                         lease = id;
-                        confirmedAt = asked;
-                        findOld();
+                        confirmedAt = requestedAt;
+                        findPreviousRecord();
                     }
                 }));
     }
 
     // A process of the same name that was killed may have left its record until its lease lapses.
-    private void findOld() {
+    private void findPreviousRecord() {
         String key = StoreKeys.entry(self.id());
         var unused = platform.range(key, 0)
-                .whenComplete((r, failure) -> loop.execute(() -> {
+                .whenComplete((range, failure) -> loop.execute(() -> {
                     if (failure != null) {
-                        loop.after(RETRY_MILLIS, this::makeLease);
+                        loop.after(RETRY_MILLIS, this::requestLease);
                         return;
                     }
-                    long old = r.records().stream()
-                            .filter(x -> x.key().equals(key))
-                            .mapToLong(x -> x.revision())
+                    long previousRevision = range.records().stream()
+                            .filter(record -> record.key().equals(key))
+                            .mapToLong(record -> record.revision())
                             .findFirst()
                             .orElse(0);
-                    write(key, old);
+                    write(key, previousRevision);
                 }));
     }
 
-    private void write(String key, long expected) {
-        Swap swap = new Swap(key, RecordCodec.write(self), expected, lease);
+    private void write(String key, long expectedRevision) {
+        Swap swap = new Swap(key, RecordCodec.write(self), expectedRevision, lease);
         writer.write(swap, self.writeId(), result -> {
             if (result.fate() != WriteResult.Fate.ACCEPTED) {
-                loop.after(RETRY_MILLIS, this::makeLease);
+                loop.after(RETRY_MILLIS, this::requestLease);
                 return;
             }
             registered = true;
@@ -124,24 +124,24 @@
     }
 
     private long keepAliveMillis() {
-        return ttlSeconds * 1_000 / KEEP_ALIVES_PER_LEASE;
+        return ttlSeconds * 1_000 / KEEP_ALIVES_PER_TTL;
     }
 
     private void keepAlive() {
         if (stopped) {
             return;
         }
-        long asked = loop.clock().millis();
+        long requestedAt = loop.clock().millis();
         var unused = platform.keepAlive(lease)
                 .whenComplete((alive, failure) -> loop.execute(() -> {
                     if (failure != null) {
                         loop.after(RETRY_MILLIS, this::keepAlive);
                     } else if (alive) {
-                        confirmedAt = asked;
+                        confirmedAt = requestedAt;
                         loop.after(keepAliveMillis(), this::keepAlive);
                     } else {
                         Log.warn("lease-lost", "entry", self.id(), "lease", lease);
-                        makeLease();
+                        requestLease();
                     }
                 }));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
@@ -137,7 +137,7 @@
     }
 
     private boolean mayDrive(WaveRecord wave) {
-        long lease = registration.liveLease();
+        long lease = registration.validLease();
         if (lease == 0) {
             return false;
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/membership/MembershipTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/membership/MembershipTest.java
@@ -30,43 +30,43 @@
 
 class MembershipTest {
 
-    private static final long HEARTBEAT = 1_000;
+    private static final long HEARTBEAT_MILLIS = 1_000;
 
     private long now;
-    private Membership membership = new Membership("self", "valley", HEARTBEAT, () -> now);
+    private Membership membership = new Membership("self", "valley", HEARTBEAT_MILLIS, () -> now);
 
     @BeforeEach
     void start() {
         now = 0;
-        membership = new Membership("self", "valley", HEARTBEAT, () -> now);
+        membership = new Membership("self", "valley", HEARTBEAT_MILLIS, () -> now);
         membership.onHello("near", "north", "valley", "127.0.0.1:1");
         membership.onHello("far", "west", "coast", "127.0.0.1:2");
     }
 
-    private void beat(String id, long revision) {
+    private void heartbeat(String id, long revision) {
         membership.onHeartbeat(id, revision, true, true, Map.of());
     }
 
     private static StoredRecord registration(String id, String region) {
-        EntryRecord e = new EntryRecord(id, "north", region, "127.0.0.1:1", "", "", "w");
-        return new StoredRecord(StoreKeys.entry(id), RecordCodec.write(e), 5);
+        EntryRecord entry = new EntryRecord(id, "north", region, "127.0.0.1:1", "", "", "w");
+        return new StoredRecord(StoreKeys.entry(id), RecordCodec.write(entry), 5);
     }
 
     private PeerState peer(String id) {
         return membership.peers().stream()
-                .filter(p -> p.id().equals(id))
+                .filter(peer -> peer.id().equals(id))
                 .findFirst()
                 .orElseThrow();
     }
 
     @Nested
-    class Reachable {
+    class Reachability {
 
         @Test
-        void areThoseHeardLatelyAndServingInTheRegion() {
+        void includesOnlyServingPeersOfTheRegionWithRecentHeartbeats() {
             assertEquals(List.of(), membership.servingInRegion());
-            beat("near", 1);
-            beat("far", 1);
+            heartbeat("near", 1);
+            heartbeat("far", 1);
             assertEquals(List.of("near"), membership.servingInRegion());
             now = 2_501;
             assertEquals(List.of(), membership.servingInRegion(), "a frozen entry is missed");
@@ -74,36 +74,36 @@
         }
 
         @Test
-        void endWithTheConnection() {
-            beat("near", 1);
-            membership.onGone("near");
+        void endsOnDisconnect() {
+            heartbeat("near", 1);
+            membership.onDisconnected("near");
             assertFalse(membership.isReachable(peer("near")));
         }
     }
 
     @Nested
-    class Revisions {
+    class Revision {
 
         @Test
-        void thatWereConfirmedDoNotGoBack() {
-            beat("near", 7);
-            beat("near", 5);
+        void neverDecreases() {
+            heartbeat("near", 7);
+            heartbeat("near", 5);
             assertEquals(7, peer("near").revision());
         }
 
         @Test
-        void ofAnEntryAtANewAddressStartAnew() {
-            beat("near", 7);
+        void isResetAtNewAddress() {
+            heartbeat("near", 7);
             membership.onHello("near", "north", "valley", "127.0.0.1:9");
             assertEquals(0, peer("near").revision(), "a new process has confirmed nothing yet");
         }
     }
 
     @Nested
-    class Registrations {
+    class Registration {
 
         @Test
-        void areTakenAsReadAndOutliveSilence() {
+        void keepsSilentPeersUntilRemoved() {
             membership.onRegistrations(List.of(registration("near", "valley"), registration("self", "valley")));
             assertTrue(peer("near").registered());
             assertEquals(2, membership.peers().size(), "this entry is none of its own peers");
@@ -114,10 +114,10 @@
     }
 
     @Nested
-    class Halls {
+    class Hall {
 
         @Test
-        void belongToTheRegionThatTheirEntriesSay() {
+        void belongsToTheRegionOfItsEntries() {
             assertTrue(membership.mayBeInRegion("north"));
             assertFalse(membership.mayBeInRegion("west"));
             assertTrue(membership.mayBeInRegion("unknown"), "no entry has said otherwise");
