--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/EntryRecord.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/EntryRecord.java
@@ -16,15 +16,15 @@
 package org.lupinpaddle.daemon.membership;
 
 /**
- * What an entry registers of itself in the store, under its lease.
+ * The registration of an entry in the store, attached to the entry's lease.
  *
  * @param id the entry's name
  * @param hall its data hall
  * @param region the region of the data hall
- * @param peerAddress where other entries reach it
- * @param callerAddress where callers reach it
- * @param operatorAddress where operators reach it
- * @param writeId tells this process from an earlier one of the same name
+ * @param peerAddress the address for other entries
+ * @param callerAddress the address for callers
+ * @param operatorAddress the address for operators
+ * @param writeId distinguishes this process from an earlier one with the same name
  */
 public record EntryRecord(
         String id,
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
@@ -26,15 +26,14 @@
 import org.lupinpaddle.core.view.StoredRecord;
 
 /**
- * Who the other entries are and which of them can be reached now. Names and addresses come from the store
- * and from the entries' own greetings; whether one is reachable comes from its heartbeats alone, so it is
- * true also while the store is away or slow.
+ * Tracks the other entries and which of them are reachable. Names and addresses come from the store and from the entries'
+ * hello messages. Reachability depends only on heartbeats, so that it is correct even if the store is down or slow.
  */
 public final class Membership {
 
-    // An entry that is neither registered nor heard for this long is forgotten.
+    // An unregistered entry without a heartbeat for this long is removed.
     private static final long FORGET_AFTER_MILLIS = 60_000;
-    // Heartbeats between regions are rarer, to stay within the bytes a node may spend on control.
+    // Heartbeats between regions are less frequent, to stay within an entry's byte budget for control traffic.
     private static final int INTER_REGION_HEARTBEAT_FACTOR = 5;
     private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
@@ -44,7 +43,7 @@
     private final Clock clock;
     private final Map<String, PeerState> peers = new TreeMap<>();
 
-    /** Makes the membership as seen by entry {@code selfId} of a region. */
+    /** Creates the membership as seen by entry {@code selfId} of a region. */
     public Membership(String selfId, String region, long heartbeatMillis, Clock clock) {
         this.selfId = selfId;
         this.region = region;
@@ -52,7 +51,7 @@
         this.clock = clock;
     }
 
-    /** Takes the registrations as read from the store. */
+    /** Updates the peers with the registrations read from the store. */
     public void onRegistrations(List<StoredRecord> records) {
         Set<String> registered = new HashSet<>();
         for (StoredRecord record : records) {
@@ -68,12 +67,12 @@
         peers.values().removeIf(peer -> !peer.registered() && now - peer.lastSeen() > FORGET_AFTER_MILLIS);
     }
 
-    /** Takes an entry's greeting. */
+    /** Handles the hello message of an entry. */
     public void onHello(String id, String hall, String peerRegion, String address) {
         if (!id.equals(selfId)) {
             addOrReplace(id, hall, peerRegion, address);
-            // A greeting counts as heard: an entry that is not registered yet must not be forgotten before
-            // its first heartbeat, since it greets only once.
+            // A hello counts as a heartbeat: an entry that is not registered yet must not be removed before its first
+            // heartbeat, because it sends the hello only once.
             long now = clock.millis();
             peers.computeIfPresent(
                     id,
@@ -89,38 +88,38 @@
         }
     }
 
-    /** Takes an entry's heartbeat. */
+    /** Handles the heartbeat of an entry. */
     public void onHeartbeat(String id, long revision, boolean serving, boolean platformOk, Map<String, Long> leaving) {
         long now = clock.millis();
         peers.computeIfPresent(id, (ignored, peer) -> peer.withHeartbeat(now, revision, serving, platformOk, leaving));
     }
 
-    /** Notes that an entry's connection has broken off. */
+    /** Marks an entry as unreachable because its connection was lost. */
     public void onDisconnected(String id) {
         peers.computeIfPresent(id, (ignored, peer) -> peer.disconnected());
     }
 
-    /** Returns all entries known but this one. */
+    /** Returns all known entries except this one. */
     public Collection<PeerState> peers() {
         return List.copyOf(peers.values());
     }
 
-    /** Returns the entries that were heard lately. */
+    /** Returns the entries with a recent heartbeat. */
     public List<PeerState> reachable() {
         return peers.values().stream().filter(this::isReachable).toList();
     }
 
-    /** Returns whether an entry was heard lately. */
+    /** Returns whether the last heartbeat of an entry is recent. */
     public boolean isReachable(PeerState peer) {
         return clock.millis() - peer.lastSeen() <= heartbeatMillis(peer) * MAX_MISSED_HEARTBEATS;
     }
 
-    /** Returns the time between two heartbeats to an entry, in milliseconds. */
+    /** Returns the interval of the heartbeats to and from an entry, in milliseconds. */
     public long heartbeatMillis(PeerState peer) {
         return peer.region().equals(region) ? heartbeatMillis : heartbeatMillis * INTER_REGION_HEARTBEAT_FACTOR;
     }
 
-    /** Returns whether a data hall belongs to this region, as far as any entry of the hall has said. */
+    /** Returns whether a data hall belongs to this region; true if no entry of the hall is known. */
     public boolean mayBeInRegion(String hall) {
         return peers.values().stream()
                 .filter(peer -> peer.hall().equals(hall))
@@ -129,7 +128,7 @@
                 .orElse(true);
     }
 
-    /** Returns the entries of this region that are reachable and serve callers. */
+    /** Returns the ids of the reachable entries of this region that serve callers. */
     public List<String> servingInRegion() {
         return reachable().stream()
                 .filter(peer -> peer.serving() && peer.region().equals(region))
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
@@ -18,18 +18,18 @@
 import java.util.Map;
 
 /**
- * What is known of another entry.
+ * The known state of another entry.
  *
  * @param id its name
  * @param hall its data hall
  * @param region its region
  * @param address its peer address
- * @param registered whether its registration stands in the store, as last read
- * @param lastSeen when it was last heard, in milliseconds of this entry's clock; far past where never
- * @param revision the newest record of the configuration that is in force on it
+ * @param registered whether the store contained its registration when last read
+ * @param lastSeen the time of its last hello or heartbeat, in milliseconds of this entry's clock
+ * @param revision the revision of the newest configuration record in force on it
  * @param serving whether it serves callers
- * @param platformOk whether it hears from the platform
- * @param leaving incarnations of instances that the platform's list says are leaving, as it knows them
+ * @param platformOk whether it can reach the platform
+ * @param leaving the incarnations of the instances that the platform lists as leaving, as known to it
  */
 public record PeerState(
         String id,
@@ -45,18 +45,18 @@
 
     private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Returns the state of an entry that was not heard yet. */
+    /** Returns the state of an entry without any heartbeat yet. */
     public static PeerState initial(String id, String hall, String region, String address) {
         return new PeerState(id, hall, region, address, false, NEVER, 0, false, false, Map.of());
     }
 
-    /** Returns this state with the store's word on the registration. */
+    /** Returns this state with an updated registration. */
     public PeerState withRegistered(boolean newRegistered) {
         return new PeerState(
                 id, hall, region, address, newRegistered, lastSeen, revision, serving, platformOk, leaving);
     }
 
-    /** Returns this state with what a heartbeat said. */
+    /** Returns this state updated by a heartbeat; the revision never decreases. */
     public PeerState withHeartbeat(
             long now, long newRevision, boolean newServing, boolean newPlatformOk, Map<String, Long> newLeaving) {
         return new PeerState(
@@ -72,7 +72,7 @@
                 newLeaving);
     }
 
-    /** Returns this state as gone, until it is heard again. */
+    /** Returns this state as unreachable until the next heartbeat. */
     public PeerState disconnected() {
         return new PeerState(id, hall, region, address, registered, NEVER, revision, false, false, leaving);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
@@ -25,9 +25,9 @@
 import org.lupinpaddle.daemon.platform.WriteResult;
 
 /**
- * Keeps this entry registered in the store under a lease: makes the lease, writes the record with it, keeps
- * it alive, and starts anew when the lease was lost. While the platform is away the entry goes on serving
- * unregistered. Attempts are spread by the entry's own phase, so entries do not come back in step.
+ * Keeps this entry registered in the store: acquires a lease, writes the record with it, renews the lease and starts again
+ * if it is lost. While the platform is down, the entry keeps serving without a registration. Retries follow each entry's own
+ * timing, so that the entries do not reconnect all at the same moment.
  */
 public final class Registration {
 
@@ -44,7 +44,7 @@
     private boolean stopped;
     private long confirmedAt = Long.MIN_VALUE;
 
-    /** Makes the registration of {@code self} with a lease of {@code ttlSeconds}. */
+    /** Creates the registration of {@code self} with a lease of {@code ttlSeconds}. */
     public Registration(Platform platform, StoreWriter writer, EventLoop loop, EntryRecord self, long ttlSeconds) {
         this.platform = platform;
         this.writer = writer;
@@ -53,18 +53,18 @@
         this.ttlSeconds = ttlSeconds;
     }
 
-    /** Starts registering; call on the loop. */
+    /** Starts the registration; must be called on the event loop. */
     public void start() {
         requestLease();
     }
 
-    /** Returns the lease that goes with this entry's life, or 0 while there is none that is known to live. */
+    /** Returns the lease of this entry, or 0 if none is known to be valid. */
     public long validLease() {
         boolean fresh = loop.clock().millis() - confirmedAt < ttlSeconds * 1_000;
         return registered && fresh ? lease : 0;
     }
 
-    /** Ends the registration, so that others need not wait for the lease to lapse. */
+    /** Revokes the lease, so that others need not wait for it to expire. */
     public void stop() {
         stopped = true;
         registered = false;
@@ -92,7 +92,7 @@
                 }));
     }
 
-    // A process of the same name that was killed may have left its record until its lease lapses.
+    // A killed process with the same name may have left its record, which stays until its lease expires.
     private void findPreviousRecord() {
         String key = StoreKeys.entry(self.id());
         var unused = platform.range(key, 0)
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/package-info.java
@@ -1,4 +1,4 @@
-/** Who the other entries are: registration in the store and what their heartbeats say. */
+/** Membership of the entries: registration in the store and tracking of the peers by their heartbeats. */
 @NullMarked
 package org.lupinpaddle.daemon.membership;
 
--- a/daemon/src/test/java/org/lupinpaddle/daemon/membership/MembershipTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/membership/MembershipTest.java
@@ -69,8 +69,8 @@
             heartbeat("far", 1);
             assertEquals(List.of("near"), membership.servingInRegion());
             now = 2_501;
-            assertEquals(List.of(), membership.servingInRegion(), "a frozen entry is missed");
-            assertTrue(membership.isReachable(peer("far")), "heartbeats between regions are rarer");
+            assertEquals(List.of(), membership.servingInRegion(), "an entry without heartbeats is not reachable");
+            assertTrue(membership.isReachable(peer("far")), "heartbeats between regions are less frequent");
         }
 
         @Test
@@ -95,7 +95,7 @@
         void isResetAtNewAddress() {
             heartbeat("near", 7);
             membership.onHello("near", "north", "valley", "127.0.0.1:9");
-            assertEquals(0, peer("near").revision(), "a new process has confirmed nothing yet");
+            assertEquals(0, peer("near").revision(), "a new process has not confirmed any revision");
         }
     }
 
@@ -106,10 +106,10 @@
         void keepsSilentPeersUntilRemoved() {
             membership.onRegistrations(List.of(registration("near", "valley"), registration("self", "valley")));
             assertTrue(peer("near").registered());
-            assertEquals(2, membership.peers().size(), "this entry is none of its own peers");
+            assertEquals(2, membership.peers().size(), "an entry is not its own peer");
             now = 120_000;
             membership.onRegistrations(List.of(registration("near", "valley")));
-            assertEquals(1, membership.peers().size(), "one that is neither registered nor heard is forgotten");
+            assertEquals(1, membership.peers().size(), "an unregistered entry without heartbeats is removed");
         }
     }
 
@@ -120,7 +120,8 @@
         void belongsToTheRegionOfItsEntries() {
             assertTrue(membership.mayBeInRegion("north"));
             assertFalse(membership.mayBeInRegion("west"));
-            assertTrue(membership.mayBeInRegion("unknown"), "no entry has said otherwise");
+            assertTrue(
+                    membership.mayBeInRegion("unknown"), "a hall without known entries counts as part of the region");
         }
     }
 }
