--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimJob.java
@@ -17,21 +17,21 @@
 
 import org.lupinpaddle.core.common.Urgency;
 
-/** One piece of work of a caller, which may try it several times. */
+/** A job of a caller, who may submit it several times. */
 final class SimJob {
 
     final Urgency urgency;
     final long runMillis;
     final boolean poison;
     final boolean repeatable;
-    final long bornAt;
+    final long createdAt;
     int tries;
 
-    SimJob(Urgency urgency, long runMillis, boolean poison, boolean repeatable, long bornAt) {
+    SimJob(Urgency urgency, long runMillis, boolean poison, boolean repeatable, long createdAt) {
         this.urgency = urgency;
         this.runMillis = runMillis;
         this.poison = poison;
         this.repeatable = repeatable;
-        this.bornAt = bornAt;
+        this.createdAt = createdAt;
     }
 }
