--- a/model/src/main/java/org/lupinpaddle/model/Trouble.java
+++ b/model/src/main/java/org/lupinpaddle/model/CallFault.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.model;
 
 /** What can go wrong on the way of one call. */
-enum Trouble {
+enum CallFault {
     /** Nothing. */
     NONE,
     /** The call never arrives and nothing answers. */
--- a/model/src/main/java/org/lupinpaddle/model/SimEnd.java
+++ b/model/src/main/java/org/lupinpaddle/model/CompletedRun.java
@@ -20,31 +20,31 @@
  * it under a lease that has not lapsed since; and also after an order that took the worker away, if it was listed
  * before. Only with a worker that crashes may an end be lost.
  */
-final class SimEnd {
+final class CompletedRun {
 
     // So long after it was listed an end counts as heard.
-    private static final long HEARD_MILLIS = 100;
+    private static final long DELIVERY_MILLIS = 100;
 
-    final SimWorker on;
-    final int lapsesBefore;
-    private long listedAt = World.NEVER;
+    final SimWorker worker;
+    final int leaseLapsesBefore;
+    private long reportedAt = World.NEVER;
 
-    SimEnd(SimWorker on, int lapsesBefore) {
-        this.on = on;
-        this.lapsesBefore = lapsesBefore;
+    CompletedRun(SimWorker worker, int leaseLapsesBefore) {
+        this.worker = worker;
+        this.leaseLapsesBefore = leaseLapsesBefore;
     }
 
     /** Takes in that the worker tells of it. */
-    void listed(long now) {
-        listedAt = Math.min(listedAt, now);
+    void reported(long now) {
+        reportedAt = Math.min(reportedAt, now);
     }
 
-    boolean wasListedBy(long moment) {
-        return listedAt + HEARD_MILLIS <= moment;
+    boolean wasReportedBefore(long moment) {
+        return reportedAt + DELIVERY_MILLIS <= moment;
     }
 
     /** Returns whether the task must not be started again. */
-    boolean mustBeKnown() {
-        return on.hasKept(this);
+    boolean forbidsRestart() {
+        return worker.retains(this);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/OtherWriter.java
+++ b/model/src/main/java/org/lupinpaddle/model/CorruptRecordWriter.java
@@ -23,12 +23,12 @@
  * keys of workers that there are none of, and as requests and records of the fleet's owner. Its luck is its own, so that
  * a seed means the same history with and without it.
  */
-final class OtherWriter {
+final class CorruptRecordWriter {
 
-    private static final long EVERY_MILLIS = 400;
-    private static final int MOST_SPOILT_MILLIS = 6_000;
+    private static final long INTERVAL_MILLIS = 400;
+    private static final int MAX_CORRUPT_MILLIS = 6_000;
     private static final long SEED = 0x0dd;
-    private static final String[] VALUES = {
+    private static final String[] MALFORMED_VALUES = {
         "",
         "{",
         "[]",
@@ -45,14 +45,14 @@
     private final Random random;
     private final long until;
 
-    OtherWriter(World world, long seed, long until) {
+    CorruptRecordWriter(World world, long seed, long until) {
         this.world = world;
         this.until = until;
         random = new Random(seed ^ SEED);
     }
 
     void start() {
-        world.time.after(EVERY_MILLIS, this::write);
+        world.time.schedule(INTERVAL_MILLIS, this::write);
     }
 
     private void write() {
@@ -60,11 +60,11 @@
             return;
         }
         switch (random.nextInt(4)) {
-            case 0, 1 -> world.fleet.spoil(worker(), value(), 1 + random.nextInt(MOST_SPOILT_MILLIS));
-            case 2 -> passing(World.WORKERS + "nobody-" + random.nextInt(5));
-            default -> passing(JobKeys.evacuation("clips", "nobody-" + random.nextInt(5)));
+            case 0, 1 -> world.fleet.corruptRecord(worker(), value(), 1 + random.nextInt(MAX_CORRUPT_MILLIS));
+            case 2 -> putTemporarily(World.WORKERS + "nobody-" + random.nextInt(5));
+            default -> putTemporarily(JobKeys.evacuation("clips", "nobody-" + random.nextInt(5)));
         }
-        world.time.after(EVERY_MILLIS, this::write);
+        world.time.schedule(INTERVAL_MILLIS, this::write);
     }
 
     private SimWorker worker() {
@@ -73,20 +73,20 @@
     }
 
     /** Puts an entry and takes it away again. */
-    private void passing(String key) {
+    private void putTemporarily(String key) {
         world.history.add("another writer puts " + key);
         put(world.store, key, value());
-        world.time.after(1 + random.nextInt(MOST_SPOILT_MILLIS), () -> world.store.clear(key));
+        world.time.schedule(1 + random.nextInt(MAX_CORRUPT_MILLIS), () -> world.store.clear(key));
     }
 
     private String value() {
-        return VALUES[random.nextInt(VALUES.length)];
+        return MALFORMED_VALUES[random.nextInt(MALFORMED_VALUES.length)];
     }
 
     /** Puts a value; the empty one stands for bytes that are no text. */
     static void put(SimStore store, String key, String value) {
         if (value.isEmpty()) {
-            store.setNoText(key);
+            store.putNonText(key);
         } else {
             store.set(key, value);
         }
--- a/model/src/main/java/org/lupinpaddle/model/CrashingTasks.java
+++ b/model/src/main/java/org/lupinpaddle/model/CrashingTasks.java
@@ -35,18 +35,18 @@
 
     private static final long SEED = 0xc4a5;
     private static final int JOBS = 4;
-    private static final int FIRST_NUMBER = 1_000;
-    private static final int AT_ONCE_MILLIS = 10;
-    private static final int MOST_WORK_MILLIS = 2_000;
-    private static final int LEAST_DOWN_MILLIS = 1_000;
-    private static final int DOWN_SPREAD_MILLIS = 4_000;
-    private static final int MOST_OTHER_CRASHES = 4;
+    private static final int FIRST_CALLER = 1_000;
+    private static final int MIN_WORK_MILLIS = 10;
+    private static final int WORK_RANGE_MILLIS = 2_000;
+    private static final int MIN_DOWN_MILLIS = 1_000;
+    private static final int DOWN_RANGE_MILLIS = 4_000;
+    private static final int MAX_OTHER_CRASHES = 4;
 
     private final World world;
     private final Random random;
-    private final Map<String, Map<TaskId, Long>> guilty = new HashMap<>();
+    private final Map<String, Map<TaskId, Long>> crashDelays = new HashMap<>();
     /** How many workers were lost to such tasks. */
-    private int lost;
+    private int workersLost;
 
     CrashingTasks(World world, long seed) {
         this.world = world;
@@ -55,85 +55,88 @@
 
     void plan(long from, long millis) {
         for (int i = 0; i < JOBS; i++) {
-            int number = FIRST_NUMBER + i;
-            world.time.after(from + random.nextInt((int) millis), () -> handIn(number));
+            int number = FIRST_CALLER + i;
+            world.time.schedule(from + random.nextInt((int) millis), () -> submitJob(number));
         }
-        int crashes = random.nextInt(MOST_OTHER_CRASHES + 1);
+        int crashes = random.nextInt(MAX_OTHER_CRASHES + 1);
         for (int i = 0; i < crashes; i++) {
-            world.time.after(from + random.nextInt((int) millis), this::crashByThemselves);
+            world.time.schedule(from + random.nextInt((int) millis), this::crashWithoutCause);
         }
     }
 
-    private void handIn(int number) {
-        boolean lasting = random.nextInt(4) == 0;
+    private void submitJob(int number) {
+        boolean longRunning = random.nextInt(4) == 0;
         int count = 1 + random.nextInt(4);
         StepSpec.Need need = new StepSpec.Need(500 + random.nextInt(1_500), 200, 0);
-        StepSpec.Builder step = StepSpec.builder(count, need);
-        StepSpec made = lasting
-                ? step.longRunning(true, 1).build()
-                : step.estimateMillis(500).checkpointing(random.nextBoolean()).build();
-        Submission s = new Submission("crashing " + number, List.of(made), Repeat.ONCE);
+        StepSpec.Builder builder = StepSpec.builder(count, need);
+        StepSpec step = longRunning
+                ? builder.longRunning(true, 1).build()
+                : builder.estimateMillis(500)
+                        .checkpointing(random.nextBoolean())
+                        .build();
+        Submission s = new Submission("crashing " + number, List.of(step), Repeat.ONCE);
         String service = world.service(random.nextInt(2));
         SimCaller caller = new SimCaller(world, world.history, number, service, s, false);
-        guilty.put(caller.id(), chooseGuilty(count));
-        world.history.add("crashing " + caller.id() + " " + guilty.get(caller.id()));
+        crashDelays.put(caller.id(), chooseCrashingTasks(count));
+        world.history.add("crashing " + caller.id() + " " + crashDelays.get(caller.id()));
         caller.submit();
     }
 
-    private Map<TaskId, Long> chooseGuilty(int count) {
+    private Map<TaskId, Long> chooseCrashingTasks(int count) {
         boolean all = random.nextBoolean();
-        boolean atOnce = random.nextBoolean();
-        long after = AT_ONCE_MILLIS + (atOnce ? 0 : random.nextInt(MOST_WORK_MILLIS));
+        boolean immediately = random.nextBoolean();
+        long after = MIN_WORK_MILLIS + (immediately ? 0 : random.nextInt(WORK_RANGE_MILLIS));
         Map<TaskId, Long> chosen = new HashMap<>();
-        int one = random.nextInt(count);
+        int chosenIndex = random.nextInt(count);
         for (int i = 0; i < count; i++) {
-            if (all || i == one) {
+            if (all || i == chosenIndex) {
                 chosen.put(new TaskId(0, 0, i), after);
             }
         }
         return chosen;
     }
 
-    private void crashByThemselves() {
+    private void crashWithoutCause() {
         List<SimWorker> up = new ArrayList<>(world.fleet.workers());
         if (up.isEmpty()) {
             return;
         }
-        SimWorker one = up.get(random.nextInt(up.size()));
+        SimWorker target = up.get(random.nextInt(up.size()));
         boolean wholeRack = random.nextBoolean();
-        List<SimWorker> hit = up.stream()
-                .filter(w ->
-                        wholeRack ? w.facts().failureDomain().equals(one.facts().failureDomain()) : w == one)
+        List<SimWorker> targets = up.stream()
+                .filter(w -> wholeRack
+                        ? w.facts().failureDomain().equals(target.facts().failureDomain())
+                        : w == target)
                 .toList();
         world.history.add(
-                "crash by themselves: " + hit.stream().map(SimWorker::id).toList());
-        hit.forEach(this::crash);
+                "crash by themselves: " + targets.stream().map(SimWorker::id).toList());
+        targets.forEach(this::crash);
     }
 
     private void crash(SimWorker w) {
-        world.fleet.crash(w, LEAST_DOWN_MILLIS + random.nextInt(DOWN_SPREAD_MILLIS));
+        world.fleet.crash(w, MIN_DOWN_MILLIS + random.nextInt(DOWN_RANGE_MILLIS));
     }
 
     /** Returns after how much of its work a task crashes its worker; nothing for one that does not. */
-    OptionalLong crashesAfter(String job, TaskId task) {
-        Long millis = guilty.getOrDefault(job, Map.of()).get(task);
+    OptionalLong crashDelayMillis(String job, TaskId task) {
+        Long millis = crashDelays.getOrDefault(job, Map.of()).get(task);
         return millis == null ? OptionalLong.empty() : OptionalLong.of(millis);
     }
 
     /** A task has crashed its worker. */
-    void crashed(SimWorker w, String job, TaskId task) {
-        lost++;
+    void onCrash(SimWorker w, String job, TaskId task) {
+        workersLost++;
         world.history.add(w.id() + " crashes under " + job + "." + task);
         crash(w);
     }
 
     /** Returns how many workers were lost to tasks that crash them. */
     int workersLost() {
-        return lost;
+        return workersLost;
     }
 
     /** Returns whether some of the job's tasks crash their workers. */
-    boolean isGuilty(String job) {
-        return guilty.containsKey(job);
+    boolean hasCrashingTasks(String job) {
+        return crashDelays.containsKey(job);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/Fault.java
+++ b/model/src/main/java/org/lupinpaddle/model/Fault.java
@@ -21,140 +21,140 @@
 /** What can go wrong, and how it is done to a world. Each takes its share of luck from the world's seed. */
 enum Fault {
     /** An entry is killed and comes back. */
-    ENTRY_KILLED((w, f) -> f.entry(w).kill(500 + f.millis(4_000))),
+    ENTRY_KILLED((w, context) -> context.entry(w).kill(500 + context.millis(4_000))),
     /** An entry stands still and wakes. */
-    ENTRY_FROZEN((w, f) -> f.entry(w).freeze(500 + f.millis(8_000))),
+    ENTRY_FROZEN((w, context) -> context.entry(w).freeze(500 + context.millis(8_000))),
     /** An entry is stopped as planned. */
-    ENTRY_STOPPED((w, f) -> f.entry(w).stopGracefully()),
+    ENTRY_STOPPED((w, context) -> context.entry(w).stopGracefully()),
     /** All entries are killed at once. */
-    ALL_KILLED((w, f) -> {
-        long down = 500 + f.millis(3_000);
+    ALL_KILLED((w, context) -> {
+        long down = 500 + context.millis(3_000);
         w.entries.forEach(e -> e.kill(down));
     }),
     /** The store turns an entry away, and ends its leases. */
-    ENTRY_TURNED_AWAY((w, f) -> f.turnAway(w, true)),
+    ENTRY_TURNED_AWAY((w, context) -> context.cutFromStore(w, true)),
     /** An entry does not reach the store. */
-    ENTRY_CUT_FROM_STORE((w, f) -> f.turnAway(w, false)),
+    ENTRY_CUT_FROM_STORE((w, context) -> context.cutFromStore(w, false)),
     /** A hall is cut off from the others and the store. */
-    HALL_CUT((w, f) -> {
-        String hall = f.entry(w).hall;
-        w.net.cutHalls.add(hall);
-        f.later(w, 2_000 + f.millis(5_000), () -> w.net.cutHalls.remove(hall));
+    HALL_CUT((w, context) -> {
+        String hall = context.entry(w).hall;
+        w.net.isolatedHalls.add(hall);
+        context.scheduleEnd(w, 2_000 + context.millis(5_000), () -> w.net.isolatedHalls.remove(hall));
     }),
     /** The store is down. */
-    STORE_DOWN((w, f) -> {
-        w.net.store = f.heads() ? Trouble.SILENT : Trouble.REFUSED;
-        w.store.leasesWait(f.heads());
-        f.later(w, 2_000 + f.millis(7_000), () -> {
-            w.net.store = Trouble.NONE;
-            w.store.leasesWait(false);
+    STORE_DOWN((w, context) -> {
+        w.net.storeFault = context.coinFlip() ? CallFault.SILENT : CallFault.REFUSED;
+        w.store.setLeasesPaused(context.coinFlip());
+        context.scheduleEnd(w, 2_000 + context.millis(7_000), () -> {
+            w.net.storeFault = CallFault.NONE;
+            w.store.setLeasesPaused(false);
         });
     }),
     /** Answers of the store to writes are lost; some are carried out late. */
-    STORE_LOSES_ANSWERS((w, f) -> {
-        w.net.store = f.heads() ? Trouble.ANSWER_LOST : Trouble.LATE;
-        w.net.storeShare = 0.35;
-        f.later(w, 2_000 + f.millis(4_000), () -> w.net.store = Trouble.NONE);
+    STORE_LOSES_ANSWERS((w, context) -> {
+        w.net.storeFault = context.coinFlip() ? CallFault.ANSWER_LOST : CallFault.LATE;
+        w.net.storeFaultShare = 0.35;
+        context.scheduleEnd(w, 2_000 + context.millis(4_000), () -> w.net.storeFault = CallFault.NONE);
     }),
     /** The store is slow. */
-    STORE_SLOW((w, f) -> {
+    STORE_SLOW((w, context) -> {
         w.net.storeDelay = 240;
-        f.later(w, 2_000 + f.millis(4_000), () -> w.net.storeDelay = 0);
+        context.scheduleEnd(w, 2_000 + context.millis(4_000), () -> w.net.storeDelay = 0);
     }),
     /** The store forgets its history. */
-    HISTORY_DROPPED((w, f) -> w.store.compact()),
+    HISTORY_DROPPED((w, context) -> w.store.compact()),
     /** The operators change the configuration. */
-    CONFIGURED((w, f) -> w.configure()),
+    CONFIGURED((w, context) -> w.writeConfiguration()),
     /** A worker crashes. */
-    WORKER_CRASHED((w, f) -> w.fleet.crash(f.worker(w), 500 + f.millis(8_000))),
+    WORKER_CRASHED((w, context) -> w.fleet.crash(context.worker(w), 500 + context.millis(8_000))),
     /** A worker is replaced. */
-    WORKER_DRAINED((w, f) -> w.fleet.drain(f.worker(w), World.DRAIN_MILLIS + f.millis(4_000))),
+    WORKER_DRAINED((w, context) -> w.fleet.drain(context.worker(w), World.DRAIN_MILLIS + context.millis(4_000))),
     /** A worker answers nobody, and runs on. */
-    WORKER_CUT((w, f) -> {
-        SimWorker one = f.worker(w);
-        w.net.cutWorkers.add(one.id());
-        f.later(w, 1_000 + f.millis(12_000), () -> w.net.cutWorkers.remove(one.id()));
+    WORKER_CUT((w, context) -> {
+        SimWorker target = context.worker(w);
+        w.net.unreachableWorkers.add(target.id());
+        context.scheduleEnd(w, 1_000 + context.millis(12_000), () -> w.net.unreachableWorkers.remove(target.id()));
     }),
     /** Some of a worker's orders get no answer and are carried out late. */
-    WORKER_LATE((w, f) -> {
-        SimWorker one = f.worker(w);
-        w.net.lateWorkers.add(one.id());
-        f.later(w, 2_000 + f.millis(4_000), () -> w.net.lateWorkers.remove(one.id()));
+    WORKER_LATE((w, context) -> {
+        SimWorker target = context.worker(w);
+        w.net.workersWithLateOrders.add(target.id());
+        context.scheduleEnd(w, 2_000 + context.millis(4_000), () -> w.net.workersWithLateOrders.remove(target.id()));
     }),
     /** A worker fails all that it starts. */
-    WORKER_FAILS_ALL((w, f) -> {
-        SimWorker one = f.worker(w);
-        one.failsAll = true;
-        f.later(w, 2_000 + f.millis(5_000), () -> one.failsAll = false);
+    WORKER_FAILS_ALL((w, context) -> {
+        SimWorker target = context.worker(w);
+        target.failsAllTasks = true;
+        context.scheduleEnd(w, 2_000 + context.millis(5_000), () -> target.failsAllTasks = false);
     }),
     /** A worker is slow. */
-    WORKER_SLOW((w, f) -> {
-        SimWorker one = f.worker(w);
-        one.slowness = 6;
-        f.later(w, 2_000 + f.millis(5_000), () -> one.slowness = 1);
+    WORKER_SLOW((w, context) -> {
+        SimWorker target = context.worker(w);
+        target.slowness = 6;
+        context.scheduleEnd(w, 2_000 + context.millis(5_000), () -> target.slowness = 1);
     }),
     /** The store forgets a worker that lives on. */
-    WORKER_LAPSED((w, f) -> w.fleet.lapse(f.worker(w), 500 + f.millis(3_000)));
+    WORKER_LAPSED((w, context) -> w.fleet.loseRecord(context.worker(w), 500 + context.millis(3_000)));
 
     private final Action action;
 
     /** How a fault is done. */
     private interface Action {
-        void to(World w, Luck f);
+        void apply(World w, Context context);
     }
 
     Fault(Action action) {
         this.action = action;
     }
 
-    void strike(World w, Random random, Consumer<String> tell) {
-        Luck luck = new Luck(random);
-        action.to(w, luck);
-        tell.accept(this + luck.chosen.toString());
+    void inject(World w, Random random, Consumer<String> log) {
+        Context context = new Context(random);
+        action.apply(w, context);
+        log.accept(this + context.description.toString());
     }
 
     /** The luck of one fault: whom it hits and for how long. */
-    private static final class Luck {
+    private static final class Context {
         private final Random random;
-        private final StringBuilder chosen = new StringBuilder();
+        private final StringBuilder description = new StringBuilder();
 
-        Luck(Random random) {
+        Context(Random random) {
             this.random = random;
         }
 
         SimEntry entry(World w) {
             SimEntry e = w.entries.get(random.nextInt(w.entries.size()));
-            chosen.append(' ').append(e.name);
+            description.append(' ').append(e.name);
             return e;
         }
 
         SimWorker worker(World w) {
             var all = w.fleet.workers();
-            SimWorker one = all.get(random.nextInt(all.size()));
-            chosen.append(' ').append(one.id());
-            return one;
+            SimWorker target = all.get(random.nextInt(all.size()));
+            description.append(' ').append(target.id());
+            return target;
         }
 
-        long millis(int most) {
-            return random.nextInt(most);
+        long millis(int bound) {
+            return random.nextInt(bound);
         }
 
-        boolean heads() {
+        boolean coinFlip() {
             return random.nextBoolean();
         }
 
-        void later(World w, long millis, Runnable end) {
-            chosen.append(" for ").append(millis).append(" ms");
-            w.time.after(millis, end);
+        void scheduleEnd(World w, long millis, Runnable end) {
+            description.append(" for ").append(millis).append(" ms");
+            w.time.schedule(millis, end);
         }
 
-        void turnAway(World w, boolean revoke) {
+        void cutFromStore(World w, boolean revoke) {
             SimEntry e = entry(w);
-            w.net.storeTrouble.put(e.name, heads() ? Trouble.SILENT : Trouble.REFUSED);
+            w.net.storeFaults.put(e.name, coinFlip() ? CallFault.SILENT : CallFault.REFUSED);
             if (revoke) {
                 w.store.revoke(e.name);
             }
-            later(w, 2_000 + millis(8_000), () -> w.net.storeTrouble.remove(e.name));
+            scheduleEnd(w, 2_000 + millis(8_000), () -> w.net.storeFaults.remove(e.name));
         }
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/FaultPlan.java
+++ b/model/src/main/java/org/lupinpaddle/model/FaultPlan.java
@@ -20,26 +20,26 @@
 
     private final World world;
     private final History history;
-    private final int most;
+    private final int maxFaults;
 
-    FaultPlan(World world, History history, int most) {
+    FaultPlan(World world, History history, int maxFaults) {
         this.world = world;
         this.history = history;
-        this.most = most;
+        this.maxFaults = maxFaults;
     }
 
     void plan(long from, long millis) {
-        int count = most == 0 ? 0 : 1 + world.random.nextInt(most);
+        int count = maxFaults == 0 ? 0 : 1 + world.random.nextInt(maxFaults);
         for (int i = 0; i < count; i++) {
             Fault f = Fault.values()[world.random.nextInt(Fault.values().length)];
             long at = from + world.random.nextInt((int) millis);
-            world.time.after(at, () -> strike(f));
+            world.time.schedule(at, () -> inject(f));
         }
     }
 
-    private void strike(Fault f) {
+    private void inject(Fault f) {
         if (!world.fleet.workers().isEmpty()) {
-            f.strike(world, world.random, history::add);
+            f.inject(world, world.random, history::add);
         }
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/Link.java
+++ b/model/src/main/java/org/lupinpaddle/model/Link.java
@@ -29,23 +29,23 @@
     static final long UNLIMITED = 0;
 
     // Small enough that a short answer is not held up by a long one, large enough to be few steps.
-    private static final long PIECE_BYTES = 4_096;
+    private static final long CHUNK_BYTES = 4_096;
 
     private final VirtualTime time;
     private final long bytesPerMilli;
-    private final Deque<Transfer> waiting = new ArrayDeque<>();
-    private boolean busy;
-    private double freeAt;
+    private final Deque<Transfer> transfers = new ArrayDeque<>();
+    private boolean transferring;
+    private double freeAtMillis;
 
     private static final class Transfer {
         final BooleanSupplier wanted;
-        final Runnable arrived;
-        long left;
+        final Runnable onArrival;
+        long remainingBytes;
 
-        Transfer(long bytes, BooleanSupplier wanted, Runnable arrived) {
-            this.left = bytes;
+        Transfer(long bytes, BooleanSupplier wanted, Runnable onArrival) {
+            this.remainingBytes = bytes;
             this.wanted = wanted;
-            this.arrived = arrived;
+            this.onArrival = onArrival;
         }
     }
 
@@ -59,39 +59,39 @@
     }
 
     /** Carries so many bytes, then runs a step; it is not run when nobody wants them by then. */
-    void carry(long bytes, BooleanSupplier wanted, Runnable arrived) {
+    void transfer(long bytes, BooleanSupplier wanted, Runnable onArrival) {
         if (!isLimited()) {
-            arrived.run();
+            onArrival.run();
             return;
         }
-        waiting.add(new Transfer(bytes, wanted, arrived));
-        if (!busy) {
-            freeAt = Math.max(freeAt, (double) time.now());
-            next();
+        transfers.add(new Transfer(bytes, wanted, onArrival));
+        if (!transferring) {
+            freeAtMillis = Math.max(freeAtMillis, (double) time.now());
+            startNextChunk();
         }
     }
 
-    private void next() {
-        while (!waiting.isEmpty() && !waiting.peek().wanted.getAsBoolean()) {
-            waiting.remove();
+    private void startNextChunk() {
+        while (!transfers.isEmpty() && !transfers.peek().wanted.getAsBoolean()) {
+            transfers.remove();
         }
-        Transfer t = waiting.poll();
-        busy = t != null;
+        Transfer t = transfers.poll();
+        transferring = t != null;
         if (t == null) {
             return;
         }
-        long piece = Math.min(PIECE_BYTES, t.left);
-        t.left -= piece;
-        freeAt += (double) piece / bytesPerMilli;
-        time.after((long) Math.ceil(freeAt - (double) time.now()), () -> carried(t));
+        long chunk = Math.min(CHUNK_BYTES, t.remainingBytes);
+        t.remainingBytes -= chunk;
+        freeAtMillis += (double) chunk / bytesPerMilli;
+        time.schedule((long) Math.ceil(freeAtMillis - (double) time.now()), () -> chunkTransferred(t));
     }
 
-    private void carried(Transfer t) {
-        if (t.left > 0) {
-            waiting.add(t);
+    private void chunkTransferred(Transfer t) {
+        if (t.remainingBytes > 0) {
+            transfers.add(t);
         } else if (t.wanted.getAsBoolean()) {
-            t.arrived.run();
+            t.onArrival.run();
         }
-        next();
+        startNextChunk();
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/MaxFlow.java
+++ b/model/src/main/java/org/lupinpaddle/model/MaxFlow.java
@@ -25,9 +25,9 @@
 
     private static final int UNREACHED = -1;
 
-    private final List<List<Edge>> edges = new ArrayList<>();
+    private final List<List<Edge>> adjacency = new ArrayList<>();
     private final int[] level;
-    private final int[] next;
+    private final int[] nextEdge;
 
     /** A connection, or the way back along one: its capacity is what may still flow. */
     private static final class Edge {
@@ -45,45 +45,45 @@
     /** Makes a network of this many nodes, without connections. */
     MaxFlow(int nodes) {
         for (int i = 0; i < nodes; i++) {
-            edges.add(new ArrayList<>());
+            adjacency.add(new ArrayList<>());
         }
         level = new int[nodes];
-        next = new int[nodes];
+        nextEdge = new int[nodes];
     }
 
     /** Connects two nodes, one way. */
-    void connect(int from, int to, long capacity) {
-        List<Edge> there = edges.get(from);
-        List<Edge> back = edges.get(to);
-        there.add(new Edge(to, back.size(), capacity));
-        back.add(new Edge(from, there.size() - 1, 0));
+    void addEdge(int from, int to, long capacity) {
+        List<Edge> forward = adjacency.get(from);
+        List<Edge> backward = adjacency.get(to);
+        forward.add(new Edge(to, backward.size(), capacity));
+        backward.add(new Edge(from, forward.size() - 1, 0));
     }
 
     /** Returns the largest flow; it uses the capacities up, so it can be asked for once. */
-    long most(int source, int sink) {
-        long all = 0;
-        while (reaches(source, sink)) {
-            Arrays.fill(next, 0);
-            long more = push(source, sink, Long.MAX_VALUE);
-            while (more > 0) {
-                all += more;
-                more = push(source, sink, Long.MAX_VALUE);
+    long maxFlow(int source, int sink) {
+        long total = 0;
+        while (buildLevels(source, sink)) {
+            Arrays.fill(nextEdge, 0);
+            long sent = augment(source, sink, Long.MAX_VALUE);
+            while (sent > 0) {
+                total += sent;
+                sent = augment(source, sink, Long.MAX_VALUE);
             }
         }
-        return all;
+        return total;
     }
 
     /** Sets each node's distance from the source; returns whether the sink has one. */
-    private boolean reaches(int source, int sink) {
+    private boolean buildLevels(int source, int sink) {
         Arrays.fill(level, UNREACHED);
         level[source] = 0;
-        ArrayDeque<Integer> reached = new ArrayDeque<>(List.of(source));
-        while (!reached.isEmpty()) {
-            int node = reached.remove();
-            for (Edge e : edges.get(node)) {
+        ArrayDeque<Integer> queue = new ArrayDeque<>(List.of(source));
+        while (!queue.isEmpty()) {
+            int node = queue.remove();
+            for (Edge e : adjacency.get(node)) {
                 if (e.capacity > 0 && level[e.to] == UNREACHED) {
                     level[e.to] = level[node] + 1;
-                    reached.add(e.to);
+                    queue.add(e.to);
                 }
             }
         }
@@ -91,17 +91,17 @@
     }
 
     /** Sends what one shortest way still takes, up to a limit; returns 0 when there is none left. */
-    private long push(int node, int sink, long limit) {
+    private long augment(int node, int sink, long limit) {
         if (node == sink) {
             return limit;
         }
-        for (; next[node] < edges.get(node).size(); next[node]++) {
-            Edge e = edges.get(node).get(next[node]);
+        for (; nextEdge[node] < adjacency.get(node).size(); nextEdge[node]++) {
+            Edge e = adjacency.get(node).get(nextEdge[node]);
             if (e.capacity > 0 && level[e.to] == level[node] + 1) {
-                long sent = push(e.to, sink, Math.min(limit, e.capacity));
+                long sent = augment(e.to, sink, Math.min(limit, e.capacity));
                 if (sent > 0) {
                     e.capacity -= sent;
-                    edges.get(e.to).get(e.reverse).capacity += sent;
+                    adjacency.get(e.to).get(e.reverse).capacity += sent;
                     return sent;
                 }
             }
--- a/model/src/main/java/org/lupinpaddle/model/ModelMain.java
+++ b/model/src/main/java/org/lupinpaddle/model/ModelMain.java
@@ -29,9 +29,9 @@
 @Command(name = "lupinpaddle-model", description = "Runs seeded histories on virtual time and checks the rules")
 public final class ModelMain {
 
-    private static final int EXIT_HELD = 0;
-    private static final int EXIT_BROKEN = 1;
-    private static final int EXIT_WRONG = 2;
+    private static final int EXIT_OK = 0;
+    private static final int EXIT_VIOLATION = 1;
+    private static final int EXIT_USAGE = 2;
     private static final double MILLIS_PER_MINUTE = 60_000;
 
     @Option(name = "--seed", title = "N", description = "The first seed (default 1)")
@@ -62,28 +62,28 @@
             return SingleCommand.singleCommand(ModelMain.class).parse(args).execute();
         } catch (ParseException e) {
             System.err.println("lupinpaddle-model: " + e.getMessage());
-            return EXIT_WRONG;
+            return EXIT_USAGE;
         }
     }
 
     private int execute() {
-        long begun = System.nanoTime();
+        long startNanos = System.nanoTime();
         AtomicInteger broken = new AtomicInteger();
         AtomicInteger givenUp = new AtomicInteger();
         AtomicInteger lost = new AtomicInteger();
         LongStream.range(seed, seed + count).parallel().forEach(s -> {
             World w = world(s);
-            if (!holds(s, w)) {
+            if (!runHistory(s, w)) {
                 broken.incrementAndGet();
             }
             givenUp.addAndGet(w.completableJobsGivenUp());
             lost.addAndGet(w.workersLostToTasks());
         });
-        double minutes = (System.nanoTime() - begun) / 1e6 / MILLIS_PER_MINUTE;
+        double minutes = (System.nanoTime() - startNanos) / 1e6 / MILLIS_PER_MINUTE;
         System.out.printf(
                 "histories=%d broken=%d completable-jobs-given-up=%d workers-lost-to-tasks=%d per-minute=%.0f%n",
                 count, broken.get(), givenUp.get(), lost.get(), count / minutes);
-        return broken.get() == 0 ? EXIT_HELD : EXIT_BROKEN;
+        return broken.get() == 0 ? EXIT_OK : EXIT_VIOLATION;
     }
 
     private World world(long s) {
@@ -100,11 +100,11 @@
         return w;
     }
 
-    private boolean holds(long s, World w) {
+    private boolean runHistory(long s, World w) {
         try {
             w.run();
             return true;
-        } catch (RuleBrokenException e) {
+        } catch (RuleViolationException e) {
             report(s, w, String.valueOf(e.getMessage()));
         } catch (RuntimeException e) {
             report(s, w, e.toString());
@@ -113,9 +113,9 @@
         return false;
     }
 
-    private void report(long s, World w, String what) {
+    private void report(long s, World w, String message) {
         synchronized (System.out) {
-            System.out.println("seed=" + s + " broken: " + what);
+            System.out.println("seed=" + s + " broken: " + message);
             if (count == 1) {
                 w.history().forEach(System.out::println);
             }
--- a/model/src/main/java/org/lupinpaddle/model/Net.java
+++ b/model/src/main/java/org/lupinpaddle/model/Network.java
@@ -22,31 +22,31 @@
 import java.util.Set;
 
 /** Which calls arrive, how long they take and what goes wrong with them. */
-final class Net {
+final class Network {
 
-    private static final int LATE_LEAST_MILLIS = 2_000;
-    private static final int LATE_MOST_MILLIS = 10_000;
+    private static final int MIN_LATE_MILLIS = 2_000;
+    private static final int LATE_RANGE_MILLIS = 10_000;
 
     private final VirtualTime time;
     private final Random random;
     /** Halls that reach nothing outside themselves. */
-    final Set<String> cutHalls = new HashSet<>();
+    final Set<String> isolatedHalls = new HashSet<>();
     /** Entries that do not reach the store, and what happens to their calls. */
-    final Map<String, Trouble> storeTrouble = new HashMap<>();
+    final Map<String, CallFault> storeFaults = new HashMap<>();
     /** Entries to which no page of the store arrives, though their other calls are answered. */
-    final Set<String> pagesLost = new HashSet<>();
+    final Set<String> entriesLosingPages = new HashSet<>();
     /** Workers, by id, that answer nobody. */
-    final Set<String> cutWorkers = new HashSet<>();
+    final Set<String> unreachableWorkers = new HashSet<>();
     /** Workers, by id, of whose orders some get no answer and are carried out late. */
-    final Set<String> lateWorkers = new HashSet<>();
+    final Set<String> workersWithLateOrders = new HashSet<>();
     /** Trouble of the store itself, for every entry. */
-    Trouble store = Trouble.NONE;
+    CallFault storeFault = CallFault.NONE;
     /** The share of writes that {@link #store} hits when answers are lost. */
-    double storeShare = 1;
+    double storeFaultShare = 1;
     /** How much longer the store takes. */
     long storeDelay;
 
-    Net(VirtualTime time, Random random) {
+    Network(VirtualTime time, Random random) {
         this.time = time;
         this.random = random;
     }
@@ -55,37 +55,38 @@
         return 1 + random.nextInt(3);
     }
 
-    long lateness() {
-        return LATE_LEAST_MILLIS + random.nextInt(LATE_MOST_MILLIS);
+    long lateDelay() {
+        return MIN_LATE_MILLIS + random.nextInt(LATE_RANGE_MILLIS);
     }
 
-    Trouble toStore(String entry, String hall, boolean write) {
-        if (cutHalls.contains(hall)) {
-            return Trouble.SILENT;
+    CallFault faultToStore(String entry, String hall, boolean write) {
+        if (isolatedHalls.contains(hall)) {
+            return CallFault.SILENT;
         }
-        Trouble own = storeTrouble.getOrDefault(entry, Trouble.NONE);
-        if (own != Trouble.NONE) {
-            return own;
+        CallFault entryFault = storeFaults.getOrDefault(entry, CallFault.NONE);
+        if (entryFault != CallFault.NONE) {
+            return entryFault;
         }
-        boolean lossy = store == Trouble.ANSWER_LOST || store == Trouble.LATE;
-        if (lossy) {
-            return write && random.nextDouble() < storeShare ? store : Trouble.NONE;
+        boolean writesOnly = storeFault == CallFault.ANSWER_LOST || storeFault == CallFault.LATE;
+        if (writesOnly) {
+            return write && random.nextDouble() < storeFaultShare ? storeFault : CallFault.NONE;
         }
-        return store;
+        return storeFault;
     }
 
-    Trouble toWorker(String entryHall, SimWorker w, boolean order) {
-        boolean across = !entryHall.equals(w.hall()) && (cutHalls.contains(entryHall) || cutHalls.contains(w.hall()));
-        if (across || cutWorkers.contains(w.id())) {
-            return Trouble.SILENT;
+    CallFault faultToWorker(String entryHall, SimWorker w, boolean order) {
+        boolean crossesIsolation =
+                !entryHall.equals(w.hall()) && (isolatedHalls.contains(entryHall) || isolatedHalls.contains(w.hall()));
+        if (crossesIsolation || unreachableWorkers.contains(w.id())) {
+            return CallFault.SILENT;
         }
-        if (order && lateWorkers.contains(w.id()) && random.nextInt(2) == 0) {
-            return Trouble.LATE;
+        if (order && workersWithLateOrders.contains(w.id()) && random.nextInt(2) == 0) {
+            return CallFault.LATE;
         }
-        return Trouble.NONE;
+        return CallFault.NONE;
     }
 
-    void deliver(long millis, Runnable what) {
-        time.after(millis, what);
+    void deliver(long millis, Runnable action) {
+        time.schedule(millis, action);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/Recovery.java
+++ b/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
@@ -24,62 +24,62 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /** All entries lose power at one moment and start anew; some time later service is to be back. */
-final class Recovery {
+final class PowerLossRecovery {
 
     private static final long DOWN_MILLIS = 1_300;
-    private static final long LOOK_MILLIS = 100;
-    private static final int SPREAD_MILLIS = 300;
-    private static final long BACK_WITHIN_MILLIS = 15_000;
+    private static final long POLL_MILLIS = 100;
+    private static final int RESTART_SPREAD_MILLIS = 300;
+    private static final long RECOVERY_LIMIT_MILLIS = 15_000;
     // Jobs handed in later than this before the check need not be done yet.
-    private static final long JOB_MILLIS = 5_000;
-    private static final int A_QUARTER = 4;
+    private static final long MAX_JOB_MILLIS = 5_000;
+    private static final int INVERSE_MIN_DONE_SHARE = 4;
     // A worker keeps a task's place for a while, and starts take their time: some may be on their way.
-    private static final double MOST_LASTING_AWAY = 0.1;
+    private static final double MAX_SHARE_NOT_SERVING = 0.1;
 
     private final World world;
-    private final long at;
+    private final long powerLossAt;
 
-    Recovery(World world, long at) {
+    PowerLossRecovery(World world, long powerLossAt) {
         this.world = world;
-        this.at = at;
+        this.powerLossAt = powerLossAt;
     }
 
     void plan() {
-        world.time.after(at - world.time.now(), () -> {
+        world.time.schedule(powerLossAt - world.time.now(), () -> {
             world.history.add("all entries lose power");
-            watchOwners(Set.of());
-            world.entries.forEach(e -> e.kill(DOWN_MILLIS + world.random.nextInt(SPREAD_MILLIS)));
+            recordUnscheduled(Set.of());
+            world.entries.forEach(e -> e.kill(DOWN_MILLIS + world.random.nextInt(RESTART_SPREAD_MILLIS)));
         });
     }
 
     /** Writes into the history when which services have an owner that schedules. */
-    private void watchOwners(Set<String> before) {
-        Set<String> now = notScheduled();
+    private void recordUnscheduled(Set<String> before) {
+        Set<String> now = unscheduledServices();
         if (!now.equals(before)) {
             world.history.add("not scheduled: " + now);
         }
-        world.time.after(LOOK_MILLIS, () -> watchOwners(now));
+        world.time.schedule(POLL_MILLIS, () -> recordUnscheduled(now));
     }
 
     /** Returns when all entries are back. */
-    private long backAt() {
-        return at + DOWN_MILLIS + SPREAD_MILLIS;
+    private long restartedAt() {
+        return powerLossAt + DOWN_MILLIS + RESTART_SPREAD_MILLIS;
     }
 
     /** Returns by when service is to be back. */
     long end() {
-        return backAt() + BACK_WITHIN_MILLIS;
+        return restartedAt() + RECOVERY_LIMIT_MILLIS;
     }
 
     /** Returns the services of which nobody, or no owner of now, has told how many jobs wait. */
-    Set<String> notScheduled() {
+    Set<String> unscheduledServices() {
         Set<String> all = new TreeSet<>();
         for (String s : world.site.services()) {
-            long owned =
+            long ownerRevision =
                     world.store.read(JobKeys.owner(s)).map(StoreItem::revision).orElse(World.NEVER);
-            long told =
+            long reportRevision =
                     world.store.read(JobKeys.report(s)).map(StoreItem::revision).orElse(0L);
-            if (told < owned) {
+            if (reportRevision < ownerRevision) {
                 all.add(s);
             }
         }
@@ -88,40 +88,42 @@
 
     /** Holds what is so now against the rule. */
     void check() {
-        List<String> wrong = new ArrayList<>();
-        Set<String> services = notScheduled();
+        List<String> violations = new ArrayList<>();
+        Set<String> services = unscheduledServices();
         if (!services.isEmpty()) {
-            wrong.add("no owner has begun to schedule " + services);
+            violations.add("no owner has begun to schedule " + services);
         }
-        long handedIn = 0;
+        long submitted = 0;
         long done = 0;
-        long lasting = 0;
-        long away = 0;
-        for (Rules.JobTruth j : world.rules.jobs()) {
-            if (j.lasting()) {
-                lasting += j.submission.steps().get(0).count();
-                away += away(j);
-            } else if (j.handedInAt >= backAt() && j.handedInAt <= world.time.now() - JOB_MILLIS && !j.cancelSent) {
-                handedIn++;
-                done += j.allDone() ? 1 : 0;
+        long longRunningTasks = 0;
+        long notServing = 0;
+        for (Rules.TrackedJob job : world.rules.jobs()) {
+            if (job.isLongRunning()) {
+                longRunningTasks += job.submission.steps().get(0).count();
+                notServing += notServing(job);
+            } else if (job.submittedAt >= restartedAt()
+                    && job.submittedAt <= world.time.now() - MAX_JOB_MILLIS
+                    && !job.cancelSent) {
+                submitted++;
+                done += job.allDone() ? 1 : 0;
             }
         }
-        String counts = done + " of " + handedIn + " jobs are done, " + away + " of " + lasting
+        String counts = done + " of " + submitted + " jobs are done, " + notServing + " of " + longRunningTasks
                 + " lasting tasks are not at work";
         world.history.add(counts);
-        if (done * A_QUARTER < handedIn || away > lasting * MOST_LASTING_AWAY) {
-            wrong.add(counts);
+        if (done * INVERSE_MIN_DONE_SHARE < submitted || notServing > longRunningTasks * MAX_SHARE_NOT_SERVING) {
+            violations.add(counts);
         }
         world.rules.require(
                 Rules.Rule.RECOVER,
-                wrong.isEmpty(),
-                BACK_WITHIN_MILLIS + " ms after all entries were back: " + String.join("; ", wrong));
+                violations.isEmpty(),
+                RECOVERY_LIMIT_MILLIS + " ms after all entries were back: " + String.join("; ", violations));
     }
 
-    private static long away(Rules.JobTruth j) {
+    private static long notServing(Rules.TrackedJob job) {
         long n = 0;
-        for (int i = 0; i < j.submission.steps().get(0).count(); i++) {
-            n += j.task(new TaskId(0, 0, i)).atWork ? 0 : 1;
+        for (int i = 0; i < job.submission.steps().get(0).count(); i++) {
+            n += job.task(new TaskId(0, 0, i)).serving ? 0 : 1;
         }
         return n;
     }
--- a/model/src/main/java/org/lupinpaddle/model/Turns.java
+++ b/model/src/main/java/org/lupinpaddle/model/RotatingLoad.java
@@ -25,26 +25,26 @@
  * Demand that comes by turns: each queue in its turn asks for some seconds about five times its mean, and a twentieth
  * in between. One job of each queue lasts.
  */
-final class Turns {
+final class RotatingLoad {
 
-    private static final long TURN_MILLIS = 4_500;
+    private static final long BURST_MILLIS = 4_500;
     // Of 23.4 s, 4.5 s at five times the mean and the rest at a twentieth give the mean.
-    private static final long ROUND_MILLIS = 23_400;
-    private static final double HIGH = 5;
-    private static final double LOW = 0.05;
-    private static final int STEP_MILLIS = 10;
-    private static final double STEPS_PER_SECOND = 100;
-    private static final int LASTING_TASKS = 24;
+    private static final long PERIOD_MILLIS = 23_400;
+    private static final double BURST_FACTOR = 5;
+    private static final double IDLE_FACTOR = 0.05;
+    private static final int TICK_MILLIS = 10;
+    private static final double TICKS_PER_SECOND = 100;
+    private static final int LONG_RUNNING_TASKS = 24;
     private static final int TASKS_PER_STEP = 8;
-    private static final int MOST_STEPS = 4;
+    private static final int MAX_STEPS = 4;
 
     /** Jobs a second of each queue, in the order of the site's services: 37 together. */
-    private static final List<Double> MEANS = List.of(13.3, 3.2, 16.6, 3.9);
+    private static final List<Double> MEAN_JOBS_PER_SECOND = List.of(13.3, 3.2, 16.6, 3.9);
 
     private final World world;
-    private int next;
+    private int nextCaller;
 
-    Turns(World world) {
+    RotatingLoad(World world) {
         this.world = world;
     }
 
@@ -52,40 +52,40 @@
     void plan(long from, long until) {
         int queues = world.site.services().size();
         for (int q = 0; q < queues; q++) {
-            handIn(from, q, lasting());
+            submit(from, q, longRunningJob());
         }
-        for (long at = from; at < until; at += STEP_MILLIS) {
+        for (long at = from; at < until; at += TICK_MILLIS) {
             for (int q = 0; q < queues; q++) {
-                boolean inTurn = Math.floorMod(at - from - q * ROUND_MILLIS / queues, ROUND_MILLIS) < TURN_MILLIS;
-                double mean = MEANS.get(q % MEANS.size()) / STEPS_PER_SECOND;
-                if (world.random.nextDouble() < mean * (inTurn ? HIGH : LOW)) {
-                    handIn(at, q, job());
+                boolean inBurst = Math.floorMod(at - from - q * PERIOD_MILLIS / queues, PERIOD_MILLIS) < BURST_MILLIS;
+                double mean = MEAN_JOBS_PER_SECOND.get(q % MEAN_JOBS_PER_SECOND.size()) / TICKS_PER_SECOND;
+                if (world.random.nextDouble() < mean * (inBurst ? BURST_FACTOR : IDLE_FACTOR)) {
+                    submit(at, q, finiteJob());
                 }
             }
         }
     }
 
-    private void handIn(long at, int queue, Submission s) {
+    private void submit(long at, int queue, Submission s) {
         SimCaller c = new SimCaller(
-                world, world.history, next++, world.site.services().get(queue), s, false);
-        world.time.after(at - world.time.now(), c::submit);
+                world, world.history, nextCaller++, world.site.services().get(queue), s, false);
+        world.time.schedule(at - world.time.now(), c::submit);
     }
 
-    private static Submission lasting() {
-        StepSpec step = StepSpec.builder(LASTING_TASKS, new StepSpec.Need(2_550, 3_600, 0))
+    private static Submission longRunningJob() {
+        StepSpec step = StepSpec.builder(LONG_RUNNING_TASKS, new StepSpec.Need(2_550, 3_600, 0))
                 .longRunning(true, 1)
                 .perWorkerMost(2)
                 .build();
         return new Submission("lasting", List.of(step), Repeat.ONCE);
     }
 
-    private String text() {
-        String name = "job " + next;
+    private String jobText() {
+        String name = "job " + nextCaller;
         return name + "-".repeat(Math.max(0, world.site.textBytes() - name.length()));
     }
 
-    private Submission job() {
-        int count = 1 + world.random.nextInt(MOST_STEPS);
+    private Submission finiteJob() {
+        int count = 1 + world.random.nextInt(MAX_STEPS);
         List<StepSpec> steps = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             steps.add(StepSpec.builder(TASKS_PER_STEP, new StepSpec.Need(1_500, 800, 0))
@@ -93,6 +93,6 @@
                     .after(i == 0 ? List.of() : List.of(i - 1))
                     .build());
         }
-        return new Submission(text(), steps, Repeat.ONCE);
+        return new Submission(jobText(), steps, Repeat.ONCE);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/RuleBrokenException.java
+++ b/model/src/main/java/org/lupinpaddle/model/RuleViolationException.java
@@ -16,12 +16,12 @@
 package org.lupinpaddle.model;
 
 /** A history broke a rule; the message says which and how. */
-public final class RuleBrokenException extends RuntimeException {
+public final class RuleViolationException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
     /** Makes the exception. */
-    RuleBrokenException(String rule, String how) {
+    RuleViolationException(String rule, String how) {
         super(rule + ": " + how);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/Rules.java
+++ b/model/src/main/java/org/lupinpaddle/model/Rules.java
@@ -71,47 +71,47 @@
     }
 
     /** A task under which so many workers have crashed may be given up. */
-    static final int CRASHES_THAT_ALLOW_TO_GIVE_UP = 2;
+    static final int MIN_CRASHES_TO_GIVE_UP = 2;
 
     // What crashes its workers is not started so often after so many have crashed.
-    private static final int CRASHES_THAT_TELL = 3;
-    private static final int STARTS_TOO_MANY = 3;
-    private static final long CANCEL_MILLIS = 3_000;
-    private static final long NOTICE_MILLIS = 4_500;
-    private static final long NOTED_AFTER_LAPSE_MILLIS = 1_000;
+    private static final int CRASHES_BEFORE_START_LIMIT = 3;
+    private static final int START_LIMIT_AFTER_CRASHES = 3;
+    private static final long CANCEL_GRACE_MILLIS = 3_000;
+    private static final long DETECTION_MILLIS = 4_500;
+    private static final long ACKNOWLEDGED_AFTER_LAPSE_MILLIS = 1_000;
 
     private final VirtualTime time;
-    private final Map<String, JobTruth> jobs = new HashMap<>();
+    private final Map<String, TrackedJob> jobs = new HashMap<>();
     private @Nullable SimWorkspaces workspaces;
 
     /** What is true of a job, whoever knows it. */
-    static final class JobTruth {
+    static final class TrackedJob {
         final String id;
         final String service;
         final int maxAttempts;
         final Submission submission;
-        final Map<TaskId, TaskTruth> tasks = new HashMap<>();
+        final Map<TaskId, TrackedTask> tasks = new HashMap<>();
         /** The name of its workspace; empty if it has none. */
         String workspace = "";
 
-        boolean hopeless;
-        long handedInAt = World.NEVER;
+        boolean alwaysFails;
+        long submittedAt = World.NEVER;
         boolean accepted;
         long acceptedAt;
         boolean allRefused;
         long cancelAnsweredAt = World.NEVER;
         boolean cancelSent;
-        boolean saidToHaveFailed;
+        boolean reportedFailed;
 
-        JobTruth(String id, String service, int maxAttempts, Submission submission) {
+        TrackedJob(String id, String service, int maxAttempts, Submission submission) {
             this.id = id;
             this.service = service;
             this.maxAttempts = maxAttempts;
             this.submission = submission;
         }
 
-        TaskTruth task(TaskId t) {
-            return tasks.computeIfAbsent(t, k -> new TaskTruth(acceptedAt));
+        TrackedTask task(TaskId t) {
+            return tasks.computeIfAbsent(t, k -> new TrackedTask(acceptedAt));
         }
 
         StepSpec step(TaskId t) {
@@ -128,8 +128,8 @@
         }
 
         /** Returns how many workers have crashed under one of its tasks, at most. */
-        int maxCrashedUnder() {
-            return tasks.values().stream().mapToInt(t -> t.crashedUnder).max().orElse(0);
+        int maxWorkerCrashes() {
+            return tasks.values().stream().mapToInt(t -> t.workerCrashes).max().orElse(0);
         }
 
         /** Returns whether a task has failed as often as its queue allows. */
@@ -137,7 +137,7 @@
             return tasks.values().stream().anyMatch(t -> t.failed >= maxAttempts);
         }
 
-        boolean lasting() {
+        boolean isLongRunning() {
             return submission.steps().stream().anyMatch(StepSpec::longRunning);
         }
 
@@ -170,41 +170,41 @@
     }
 
     /** What is true of a task. */
-    static final class TaskTruth {
+    static final class TrackedTask {
         @Nullable
         SimWorker runsOn;
 
         boolean done;
-        boolean doneNoted;
+        boolean doneAcknowledged;
         /** When an end as done was first noted after a lapse of its worker's lease; starts sent before may still arrive. */
-        long doneNotedAfterLapseAt = World.NEVER;
+        long doneAcknowledgedAfterLapseAt = World.NEVER;
 
         /** Ends as done, by worker and run, after which the task was started again. */
-        final Set<String> startedAfter = new HashSet<>();
+        final Set<String> restartedAfter = new HashSet<>();
 
-        final Set<String> doneEnds = new HashSet<>();
+        final Set<String> completedRunIds = new HashSet<>();
         /** The same, with what has become of them. */
-        final List<SimEnd> doneKept = new ArrayList<>();
+        final List<CompletedRun> completedRuns = new ArrayList<>();
 
         /** How many workers have crashed while they ran it, whatever the cause. */
-        int crashedUnder;
+        int workerCrashes;
         /** How many it has crashed itself. */
-        int crashedByIt;
+        int crashesCaused;
 
-        int startedAfterCrashes;
-        int failedNoted;
+        int startsAfterCrashes;
+        int failuresAcknowledged;
         int failed;
-        boolean atWork;
-        boolean takenAway;
-        long awaySince;
+        boolean serving;
+        boolean removedByOrder;
+        long notServingSince;
 
-        TaskTruth(long awaySince) {
-            this.awaySince = awaySince;
+        TrackedTask(long notServingSince) {
+            this.notServingSince = notServingSince;
         }
 
         /** Away through an order, or for so long that any cause counts. */
-        boolean isAway(long now) {
-            return !atWork && (takenAway || now - awaySince >= NOTICE_MILLIS);
+        boolean isUnavailable(long now) {
+            return !serving && (removedByOrder || now - notServingSince >= DETECTION_MILLIS);
         }
     }
 
@@ -213,243 +213,247 @@
     }
 
     /** Enables the quota check on starts. */
-    void checkQuotasOf(SimWorkspaces checked) {
-        workspaces = checked;
+    void checkQuotasOf(SimWorkspaces limitedWorkspaces) {
+        workspaces = limitedWorkspaces;
     }
 
-    JobTruth submitted(String id, String service, int maxAttempts, Submission s) {
-        return jobs.computeIfAbsent(id, i -> new JobTruth(i, service, maxAttempts, s));
+    TrackedJob track(String id, String service, int maxAttempts, Submission s) {
+        return jobs.computeIfAbsent(id, i -> new TrackedJob(i, service, maxAttempts, s));
     }
 
     @Nullable
-    JobTruth job(String id) {
+    TrackedJob job(String id) {
         return jobs.get(id);
     }
 
-    Iterable<JobTruth> jobs() {
+    Iterable<TrackedJob> jobs() {
         return jobs.values();
     }
 
-    void broken(Rule r, String how) {
-        throw new RuleBrokenException(r.name(), "at " + time.now() + " ms: " + how);
+    void violation(Rule r, String detail) {
+        throw new RuleViolationException(r.name(), "at " + time.now() + " ms: " + detail);
     }
 
-    void require(Rule r, boolean holds, String how) {
-        if (!holds) {
-            broken(r, how);
+    void require(Rule r, boolean satisfied, String detail) {
+        if (!satisfied) {
+            violation(r, detail);
         }
     }
 
     /** A worker begins a run; bounds of time do not hold for an order that it carries out late. */
-    void started(SimWorker w, StartOrder o, boolean late) {
-        String what = o.jobId() + "." + o.task() + " run " + o.run() + " on " + w.life();
-        JobTruth job = jobs.get(o.jobId());
+    void onStart(SimWorker w, StartOrder o, boolean late) {
+        String what = o.jobId() + "." + o.task() + " run " + o.run() + " on " + w.incarnationId();
+        TrackedJob job = jobs.get(o.jobId());
         if (job == null) {
-            broken(Rule.UNASKED, what + ": no such job");
+            violation(Rule.UNASKED, what + ": no such job");
             return;
         }
         require(Rule.UNASKED, o.text().equals(job.submission.text()), what + ": another text");
         require(Rule.REFUSED, !job.allRefused, what + ": every submission was refused");
         require(
                 Rule.UNASKED,
-                late || time.now() <= job.cancelAnsweredAt + CANCEL_MILLIS,
+                late || time.now() <= job.cancelAnsweredAt + CANCEL_GRACE_MILLIS,
                 what + ": cancelled at " + job.cancelAnsweredAt);
         require(Rule.ROUTE, job.service.equals(w.service()), what + ": worker of " + w.service());
         require(Rule.ROUTE, w.facts().hasLabel(job.step(o.task()).label()), what + ": label missing");
-        require(Rule.DRAIN, late || time.now() <= w.drainsSince() + World.DRAIN_MILLIS, what + ": draining");
+        require(Rule.DRAIN, late || time.now() <= w.drainingSince() + World.DRAIN_MILLIS, what + ": draining");
         checkOrder(job, o.task(), what);
-        checkSpread(job, o.task(), w, what);
-        TaskTruth t = job.task(o.task());
+        checkPerWorkerLimit(job, o.task(), w, what);
+        TrackedTask t = job.task(o.task());
         require(
                 Rule.TWICE,
                 t.runsOn == null || !t.runsOn.isUp(),
                 what + ": it runs already on " + (t.runsOn == null ? "" : t.runsOn.id()));
         if (t.done) {
-            require(Rule.TWICE, !t.doneNoted, what + ": it was done and that was noted");
-            t.doneKept.forEach(e -> require(
-                    Rule.TWICE, !e.mustBeKnown(), what + ": it was done on " + e.on.id() + ", which kept that"));
-            t.startedAfter.addAll(t.doneEnds);
+            require(Rule.TWICE, !t.doneAcknowledged, what + ": it was done and that was noted");
+            t.completedRuns.forEach(e -> require(
+                    Rule.TWICE, !e.forbidsRestart(), what + ": it was done on " + e.worker.id() + ", which kept that"));
+            t.restartedAfter.addAll(t.completedRunIds);
             require(
                     Rule.TWICE,
-                    late || time.now() <= t.doneNotedAfterLapseAt + NOTED_AFTER_LAPSE_MILLIS,
-                    what + ": its end as done was noted at " + t.doneNotedAfterLapseAt
+                    late || time.now() <= t.doneAcknowledgedAfterLapseAt + ACKNOWLEDGED_AFTER_LAPSE_MILLIS,
+                    what + ": its end as done was noted at " + t.doneAcknowledgedAfterLapseAt
                             + ", after a lapse of the lease");
         }
         if (!job.step(o.task()).longRunning()) {
-            require(Rule.BUDGET, t.failedNoted < job.maxAttempts, what + ": failed " + t.failedNoted + " times");
+            require(
+                    Rule.BUDGET,
+                    t.failuresAcknowledged < job.maxAttempts,
+                    what + ": failed " + t.failuresAcknowledged + " times");
         }
         checkCrashes(t, what);
         t.runsOn = w;
-        t.atWork = false;
+        t.serving = false;
         checkQuota(job, o.task(), what);
     }
 
-    private void checkQuota(JobTruth job, TaskId started, String what) {
-        SimWorkspaces checked = workspaces;
-        if (checked == null || job.workspace.isEmpty()) {
+    private void checkQuota(TrackedJob job, TaskId started, String what) {
+        SimWorkspaces limitedWorkspaces = workspaces;
+        if (limitedWorkspaces == null || job.workspace.isEmpty()) {
             return;
         }
         long running = runningCpu(job.workspace, j -> true);
         // The rule allows one task beyond the tolerated overage.
-        double limit = checked.maxCpu(job.workspace) + job.step(started).need().cpuMillis();
+        double limit = limitedWorkspaces.maxCpu(job.workspace)
+                + job.step(started).need().cpuMillis();
         require(Rule.QUOTA, running <= limit, what + ": " + job.workspace + " runs " + running + ", limit " + limit);
     }
 
     /** Returns the CPU that a workspace's running tasks of some jobs use, in thousandths of a core. */
-    long runningCpu(String workspace, Predicate<JobTruth> which) {
+    long runningCpu(String workspace, Predicate<TrackedJob> which) {
         return jobs.values().stream()
                 .filter(j -> j.workspace.equals(workspace) && which.test(j))
-                .mapToLong(JobTruth::runningCpu)
+                .mapToLong(TrackedJob::runningCpu)
                 .sum();
     }
 
-    private void checkCrashes(TaskTruth t, String what) {
-        if (t.crashedByIt >= CRASHES_THAT_TELL) {
-            t.startedAfterCrashes++;
+    private void checkCrashes(TrackedTask t, String what) {
+        if (t.crashesCaused >= CRASHES_BEFORE_START_LIMIT) {
+            t.startsAfterCrashes++;
             require(
                     Rule.BUDGET,
-                    t.startedAfterCrashes < STARTS_TOO_MANY,
-                    what + ": started " + t.startedAfterCrashes + " times after its third crash");
+                    t.startsAfterCrashes < START_LIMIT_AFTER_CRASHES,
+                    what + ": started " + t.startsAfterCrashes + " times after its third crash");
         }
     }
 
     /** A worker crashes while it runs the task, whatever the cause. */
-    void crashedUnder(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    void onWorkerCrash(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).crashedUnder++;
+            job.task(id).workerCrashes++;
         }
     }
 
     /** A task crashes its worker. */
-    void crashedByTask(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    void onCrashByTask(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).crashedByIt++;
+            job.task(id).crashesCaused++;
         }
     }
 
-    private void checkOrder(JobTruth job, TaskId id, String what) {
+    private void checkOrder(TrackedJob job, TaskId id, String what) {
         for (int before : job.step(id).after()) {
             require(Rule.ORDER, job.isStepDone(id.time(), before), what + ": step " + before);
         }
     }
 
-    private void checkSpread(JobTruth job, TaskId id, SimWorker w, String what) {
-        int most = job.step(id).perWorkerMost();
-        if (most == 0) {
+    private void checkPerWorkerLimit(TrackedJob job, TaskId id, SimWorker w, String what) {
+        int maxPerWorker = job.step(id).perWorkerMost();
+        if (maxPerWorker == 0) {
             return;
         }
-        long there = job.tasks.entrySet().stream()
+        long runningOnWorker = job.tasks.entrySet().stream()
                 .filter(e -> e.getKey().step() == id.step() && e.getValue().runsOn == w)
                 .count();
-        require(Rule.ROUTE, there < most, what + ": " + there + " of its step are there");
+        require(Rule.ROUTE, runningOnWorker < maxPerWorker, what + ": " + runningOnWorker + " of its step are there");
     }
 
     /** A run is over on its worker. */
-    void ended(SimWorker w, String jobId, TaskId id, int run, EndKind kind) {
-        JobTruth job = jobs.get(jobId);
+    void onRunEnded(SimWorker w, String jobId, TaskId id, int run, EndKind kind) {
+        TrackedJob job = jobs.get(jobId);
         if (job == null) {
             return;
         }
-        TaskTruth t = job.task(id);
+        TrackedTask t = job.task(id);
         if (t.runsOn == w) {
             t.runsOn = null;
-            setAtWork(t, false);
+            setServing(t, false);
         }
         if (kind == EndKind.DONE) {
             t.done = true;
-            t.doneEnds.add(w.life() + "/" + run);
+            t.completedRunIds.add(w.incarnationId() + "/" + run);
         } else if (kind == EndKind.FAILED) {
             t.failed++;
         }
     }
 
     /** A run has done its task. */
-    void done(String jobId, TaskId id, SimEnd end) {
-        JobTruth job = jobs.get(jobId);
+    void onTaskDone(String jobId, TaskId id, CompletedRun end) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).doneKept.add(end);
+            job.task(id).completedRuns.add(end);
         }
     }
 
     /** A worker has been told to forget an end: that notes it, unless the worker's lease has lapsed since the end. */
-    void noted(SimWorker w, EndReport end, boolean lapsedSince) {
-        JobTruth job = jobs.get(end.jobId());
+    void onAcknowledged(SimWorker w, EndReport end, boolean lapsedSince) {
+        TrackedJob job = jobs.get(end.jobId());
         if (job == null) {
             return;
         }
-        TaskTruth t = job.task(end.task());
+        TrackedTask t = job.task(end.task());
         if (end.kind() == EndKind.DONE) {
             if (lapsedSince) {
-                t.doneNotedAfterLapseAt = Math.min(t.doneNotedAfterLapseAt, time.now());
+                t.doneAcknowledgedAfterLapseAt = Math.min(t.doneAcknowledgedAfterLapseAt, time.now());
             } else {
-                t.doneNoted = true;
+                t.doneAcknowledged = true;
             }
-            boolean again = t.startedAfter.contains(w.life() + "/" + end.run());
+            boolean restarted = t.restartedAfter.contains(w.incarnationId() + "/" + end.run());
             require(
                     Rule.TWICE,
-                    !again || lapsedSince,
+                    !restarted || lapsedSince,
                     end.jobId() + "." + end.task() + ": started again after the end that is noted now");
         } else if (end.kind() == EndKind.FAILED && !lapsedSince) {
-            t.failedNoted++;
+            t.failuresAcknowledged++;
         }
     }
 
-    void atWork(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    void onServing(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            setAtWork(job.task(id), true);
+            setServing(job.task(id), true);
         }
     }
 
-    private void setAtWork(TaskTruth t, boolean yes) {
-        if (t.atWork && !yes) {
-            t.awaySince = time.now();
-        } else if (yes) {
-            t.takenAway = false;
+    private void setServing(TrackedTask t, boolean isServing) {
+        if (t.serving && !isServing) {
+            t.notServingSince = time.now();
+        } else if (isServing) {
+            t.removedByOrder = false;
         }
-        t.atWork = yes;
+        t.serving = isServing;
     }
 
     /** A lasting task that is at work is about to be ended by an order. */
-    void takenAway(SimWorker w, String jobId, TaskId id, String by) {
-        JobTruth job = jobs.get(jobId);
+    void onRemovedByOrder(SimWorker w, String jobId, TaskId id, String order) {
+        TrackedJob job = jobs.get(jobId);
         if (job == null || job.cancelSent) {
             return;
         }
         StepSpec step = job.step(id);
         boolean covered =
-                step.longRunning() && step.mayMiss() > 0 && job.task(id).atWork && w.drainsSince() == World.NEVER;
+                step.longRunning() && step.mayMiss() > 0 && job.task(id).serving && w.drainingSince() == World.NEVER;
         if (!covered) {
             return;
         }
-        Set<Integer> away = new HashSet<>();
+        Set<Integer> unavailable = new HashSet<>();
         for (int i = 0; i < step.count(); i++) {
             TaskId other = new TaskId(id.time(), id.step(), i);
-            if (i != id.index() && job.task(other).isAway(time.now())) {
-                away.add(i);
+            if (i != id.index() && job.task(other).isUnavailable(time.now())) {
+                unavailable.add(i);
             }
         }
         require(
                 Rule.AVAIL,
-                away.size() < step.mayMiss(),
-                jobId + "." + id + " taken from " + w.id() + " by " + by + " while " + away + " are away");
-        job.task(id).takenAway = true;
+                unavailable.size() < step.mayMiss(),
+                jobId + "." + id + " taken from " + w.id() + " by " + order + " while " + unavailable + " are away");
+        job.task(id).removedByOrder = true;
     }
 
     /** A caller is told that a job has come to an end. */
-    void toldCompleted(JobTruth job) {
+    void onReportedCompleted(TrackedJob job) {
         require(Rule.MIXED, job.allDone(), job.id + " is said to be completed, and is not");
     }
 
-    void toldFailed(JobTruth job) {
-        boolean cause = job.hasUsedUpAttempts() || job.maxCrashedUnder() >= CRASHES_THAT_ALLOW_TO_GIVE_UP;
-        job.saidToHaveFailed = true;
-        require(Rule.LOST, cause, job.id + " is said to have failed, without cause");
+    void onReportedFailed(TrackedJob job) {
+        boolean mayHaveFailed = job.hasUsedUpAttempts() || job.maxWorkerCrashes() >= MIN_CRASHES_TO_GIVE_UP;
+        job.reportedFailed = true;
+        require(Rule.LOST, mayHaveFailed, job.id + " is said to have failed, without cause");
     }
 
-    void toldUnknown(JobTruth job) {
+    void onReportedUnknown(TrackedJob job) {
         require(Rule.LOST, !job.accepted, job.id + " was accepted at " + job.acceptedAt + " and is said not to exist");
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimCaller.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimCaller.java
@@ -29,10 +29,10 @@
 /** A caller with one job: hands it in until it knows, asks how it stands, sometimes cancels it. */
 final class SimCaller {
 
-    private static final long PATIENCE_MILLIS = 3_000;
-    private static final long ASK_MILLIS = 1_500;
+    private static final long CALL_TIMEOUT_MILLIS = 3_000;
+    private static final long POLL_MILLIS = 1_500;
     private static final long VISIBLE_MILLIS = 3_000;
-    private static final int MOST_TRIES = 5;
+    private static final int MAX_ATTEMPTS = 5;
     private static final int CANCEL_ONE_IN = 8;
 
     private final World world;
@@ -42,9 +42,9 @@
     private final String path;
     private final Submission submission;
     private final boolean mayCancel;
-    private final Rules.JobTruth truth;
-    private int tries;
-    private boolean mayBeTaken;
+    private final Rules.TrackedJob job;
+    private int attempts;
+    private boolean mayBeAccepted;
     private boolean ended;
 
     SimCaller(World world, History history, int number) {
@@ -59,9 +59,9 @@
         this.path = "/" + service + "/" + id;
         this.submission = submission;
         this.mayCancel = mayCancel;
-        this.truth = world.rules.submitted(id, service, world.maxAttempts(), submission);
-        truth.hopeless = submission.text().startsWith("hopeless");
-        world.workspaces().ifPresent(w -> truth.workspace = w.nameOf(number));
+        this.job = world.rules.track(id, service, world.maxAttempts(), submission);
+        job.alwaysFails = submission.text().startsWith("hopeless");
+        world.workspaces().ifPresent(w -> job.workspace = w.nameOf(number));
     }
 
     private CallerRequest request() {
@@ -74,32 +74,32 @@
     }
 
     void submit() {
-        if (tries == 0) {
-            truth.handedInAt = world.time.now();
+        if (attempts == 0) {
+            job.submittedAt = world.time.now();
         }
-        tries++;
-        SimEntry e = someEntry();
+        attempts++;
+        SimEntry e = pickEntry();
         boolean[] answered = new boolean[1];
         CallerRequest request = request();
         long sentAt = world.time.now();
-        Consumer<SubmitOutcome> once = o -> {
+        Consumer<SubmitOutcome> answerOnce = o -> {
             if (!answered[0]) {
                 answered[0] = true;
                 checkKey(o, request.key(), sentAt);
-                submitted(o);
+                onSubmitResult(o);
             }
         };
         if (e != null) {
-            onEntry(
+            callEntry(
                     e,
                     i -> i.submit(request, id, submission)
-                            .thenAccept(o -> world.time.after(world.net.latency(), () -> {
+                            .thenAccept(o -> world.time.schedule(world.net.latency(), () -> {
                                 if (e.isUp()) {
-                                    once.accept(o);
+                                    answerOnce.accept(o);
                                 }
                             })));
         }
-        world.time.after(PATIENCE_MILLIS, () -> once.accept(SubmitOutcome.UNKNOWN));
+        world.time.schedule(CALL_TIMEOUT_MILLIS, () -> answerOnce.accept(SubmitOutcome.UNKNOWN));
     }
 
     private void checkKey(SubmitOutcome o, @Nullable KeyDigest key, long sentAt) {
@@ -112,79 +112,79 @@
         });
     }
 
-    private void onEntry(SimEntry e, Consumer<JobIntake> what) {
+    private void callEntry(SimEntry e, Consumer<JobIntake> call) {
         VirtualLoop loop = e.loop();
-        world.time.after(
+        world.time.schedule(
                 world.net.latency(),
                 () -> loop.execute(() -> {
                     if (e.node().intake().isConfigured()) {
-                        what.accept(e.node().intake());
+                        call.accept(e.node().intake());
                     }
                 }));
     }
 
-    private @Nullable SimEntry someEntry() {
+    private @Nullable SimEntry pickEntry() {
         List<SimEntry> ready = world.entries.stream()
                 .filter(e -> e.isUp() && e.node().isReady())
                 .toList();
-        List<SimEntry> from =
+        List<SimEntry> candidates =
                 ready.isEmpty() ? world.entries.stream().filter(SimEntry::isUp).toList() : ready;
-        return from.isEmpty() ? null : from.get(world.random.nextInt(from.size()));
+        return candidates.isEmpty() ? null : candidates.get(world.random.nextInt(candidates.size()));
     }
 
-    private void submitted(SubmitOutcome o) {
-        history.add("submit " + id + " try " + tries + ": " + o);
+    private void onSubmitResult(SubmitOutcome o) {
+        history.add("submit " + id + " try " + attempts + ": " + o);
         if (o == SubmitOutcome.ACCEPTED) {
-            truth.accepted = true;
-            truth.acceptedAt = world.time.now();
-            world.time.after(ASK_MILLIS, this::ask);
+            job.accepted = true;
+            job.acceptedAt = world.time.now();
+            world.time.schedule(POLL_MILLIS, this::poll);
             if (mayCancel && world.random.nextInt(CANCEL_ONE_IN) == 0) {
-                world.time.after(world.random.nextInt(4_000), this::cancel);
+                world.time.schedule(world.random.nextInt(4_000), this::cancel);
             }
             return;
         }
-        mayBeTaken |= o == SubmitOutcome.UNKNOWN;
-        if (tries < MOST_TRIES) {
-            world.time.after(500, this::submit);
+        mayBeAccepted |= o == SubmitOutcome.UNKNOWN;
+        if (attempts < MAX_ATTEMPTS) {
+            world.time.schedule(500, this::submit);
         } else {
-            truth.allRefused = !mayBeTaken;
+            job.allRefused = !mayBeAccepted;
         }
     }
 
-    private void ask() {
+    private void poll() {
         if (ended) {
             return;
         }
-        SimEntry e = someEntry();
+        SimEntry e = pickEntry();
         if (e != null) {
-            onEntry(
+            callEntry(
                     e,
                     i -> i.admit(request()).thenAccept(admission -> {
                         if (admission.isAdmitted()) {
-                            i.state(admission, id).thenAccept(a -> world.time.after(1, () -> told(a)));
+                            i.state(admission, id).thenAccept(a -> world.time.schedule(1, () -> onState(a)));
                         }
                     }));
         }
-        world.time.after(ASK_MILLIS, this::ask);
+        world.time.schedule(POLL_MILLIS, this::poll);
     }
 
-    private void told(JobAnswer a) {
+    private void onState(JobAnswer a) {
         if (!a.known()) {
             return;
         }
         if (a.state().isEmpty()) {
-            if (world.time.now() - truth.acceptedAt > VISIBLE_MILLIS) {
-                world.rules.toldUnknown(truth);
+            if (world.time.now() - job.acceptedAt > VISIBLE_MILLIS) {
+                world.rules.onReportedUnknown(job);
             }
             return;
         }
         JobState s = a.state().get();
         if (s == JobState.COMPLETED) {
-            world.rules.toldCompleted(truth);
+            world.rules.onReportedCompleted(job);
         } else if (s == JobState.FAILED) {
-            world.rules.toldFailed(truth);
+            world.rules.onReportedFailed(job);
         } else if (s == JobState.CANCELLED) {
-            world.rules.require(Rules.Rule.LOST, truth.cancelSent, id + " is said to be cancelled; nobody did");
+            world.rules.require(Rules.Rule.LOST, job.cancelSent, id + " is said to be cancelled; nobody did");
         }
         if (s.ended() && !ended) {
             ended = true;
@@ -196,27 +196,27 @@
         if (ended) {
             return;
         }
-        truth.cancelSent = true;
-        SimEntry e = someEntry();
+        job.cancelSent = true;
+        SimEntry e = pickEntry();
         if (e != null) {
-            onEntry(
+            callEntry(
                     e,
                     i -> i.admit(request()).thenAccept(admission -> {
                         if (admission.isAdmitted()) {
-                            i.cancel(admission, id).thenAccept(this::cancelled);
+                            i.cancel(admission, id).thenAccept(this::onCancelResult);
                         }
                     }));
         }
-        world.time.after(PATIENCE_MILLIS, () -> {
-            if (truth.cancelAnsweredAt == World.NEVER) {
+        world.time.schedule(CALL_TIMEOUT_MILLIS, () -> {
+            if (job.cancelAnsweredAt == World.NEVER) {
                 cancel();
             }
         });
     }
 
-    private void cancelled(JobAnswer a) {
-        if (a.known() && truth.cancelAnsweredAt == World.NEVER) {
-            truth.cancelAnsweredAt = world.time.now();
+    private void onCancelResult(JobAnswer a) {
+        if (a.known() && job.cancelAnsweredAt == World.NEVER) {
+            job.cancelAnsweredAt = world.time.now();
             history.add("cancelled " + id);
         }
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimEntry.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimEntry.java
@@ -24,7 +24,7 @@
 /** One entry: its place, and the life of the process that runs there now. */
 final class SimEntry {
 
-    private static final long SERVE_ON_MILLIS = 3_000;
+    private static final long SHUTDOWN_MILLIS = 3_000;
 
     final String name;
     final String hall;
@@ -40,16 +40,16 @@
         this.hall = hall;
         this.kind = kind;
         loop = new VirtualLoop(world.time);
-        node = life();
+        node = createNode();
     }
 
-    private JobNode life() {
+    private JobNode createNode() {
         loop = new VirtualLoop(world.time);
         up = true;
         Link out = new Link(world.time, kind.linkBytesPerMilli());
         Link in = new Link(world.time, kind.linkBytesPerMilli());
         JobSettings.Bounds bounds = new JobSettings.Bounds(
-                SimWorker.MOST_HOLD_MILLIS, SimWorker.STOP_MILLIS, 6, World.LEASE_MILLIS, World.UPKEEP_MILLIS, false);
+                SimWorker.MAX_HOLD_MILLIS, SimWorker.STOP_MILLIS, 6, World.LEASE_MILLIS, World.UPKEEP_MILLIS, false);
         return new JobNode(
                 loop,
                 new JobNode.Parts(
@@ -86,15 +86,15 @@
             return;
         }
         up = false;
-        world.fleet.leaves(name);
+        world.fleet.markLeaving(name);
         loop.close();
-        world.time.after(downMillis, this::restart);
+        world.time.schedule(downMillis, this::restart);
     }
 
     private void restart() {
         if (!up) {
-            world.fleet.returns(name);
-            node = life();
+            world.fleet.markReturned(name);
+            node = createNode();
             node.start();
         }
     }
@@ -104,10 +104,10 @@
         if (!isUp()) {
             return;
         }
-        world.fleet.leaves(name);
+        world.fleet.markLeaving(name);
         node.stop();
         VirtualLoop ending = loop;
-        world.time.after(SERVE_ON_MILLIS, () -> {
+        world.time.schedule(SHUTDOWN_MILLIS, () -> {
             if (loop == ending) {
                 kill(500);
             }
@@ -120,6 +120,6 @@
         }
         VirtualLoop frozen = loop;
         frozen.freeze();
-        world.time.after(millis, frozen::thaw);
+        world.time.schedule(millis, frozen::thaw);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -44,9 +44,9 @@
 final class SimFleet {
 
     private static final long LIST_LAG_MILLIS = 800;
-    private static final long LAPSE_MILLIS = 4_500;
+    private static final long RECORD_TTL_MILLIS = 4_500;
     /** A worker's clock counts from anywhere: it may have been up for as long. */
-    private static final int MOST_AGE_MILLIS = 100_000;
+    private static final int MAX_WORKER_AGE_MILLIS = 100_000;
 
     private final VirtualTime time;
     private final SimStore store;
@@ -55,16 +55,16 @@
     private final Room room;
     private final Supplier<Optional<CrashingTasks>> crashing;
     private final BooleanSupplier keepsId;
-    private final Map<String, Machine> machines = new TreeMap<>();
-    private final Map<String, Machine> byAddress = new HashMap<>();
+    private final Map<String, SimInstance> instances = new TreeMap<>();
+    private final Map<String, SimInstance> byAddress = new HashMap<>();
     private final Set<String> maintained = new HashSet<>();
     private final Map<Long, UpkeepWave> waves = new TreeMap<>();
-    private List<PlatformInstance> shown = List.of();
-    private int lives;
+    private List<PlatformInstance> visibleList = List.of();
+    private int nextWorkerNumber;
 
-    private final Set<String> leavers = new HashSet<>();
+    private final Set<String> leavingEntries = new HashSet<>();
 
-    private static final class Machine {
+    private static final class SimInstance {
         final String id;
         final String hall;
         final String rack;
@@ -79,7 +79,7 @@
         long lastFence;
         long lastOrderAt = Long.MIN_VALUE / 2;
 
-        Machine(String id, String hall, String rack, String address, String pool) {
+        SimInstance(String id, String hall, String rack, String address, String pool) {
             this.id = id;
             this.hall = hall;
             this.rack = rack;
@@ -106,49 +106,63 @@
     }
 
     void add(String hall, String rack, String pool) {
-        String id = "m-" + machines.size();
-        Machine m = new Machine(id, hall, rack, "a-" + machines.size(), pool);
-        machines.put(id, m);
-        byAddress.put(m.address, m);
-        bringUp(m);
+        String id = "m-" + instances.size();
+        SimInstance instance = new SimInstance(id, hall, rack, "a-" + instances.size(), pool);
+        instances.put(id, instance);
+        byAddress.put(instance.address, instance);
+        bringUp(instance);
     }
 
-    void startLagging() {
+    void startListUpdates() {
         List<PlatformInstance> now = snapshot();
-        time.after(LIST_LAG_MILLIS, () -> shown = now);
-        time.after(LIST_LAG_MILLIS / 4, this::startLagging);
+        time.schedule(LIST_LAG_MILLIS, () -> visibleList = now);
+        time.schedule(LIST_LAG_MILLIS / 4, this::startListUpdates);
     }
 
     private List<PlatformInstance> snapshot() {
         List<PlatformInstance> all = new ArrayList<>();
-        for (Machine m : machines.values()) {
-            all.add(new PlatformInstance(m.id, m.pool, m.state, m.hall, m.worker == null ? "" : m.worker.id()));
+        for (SimInstance instance : instances.values()) {
+            all.add(new PlatformInstance(
+                    instance.id,
+                    instance.pool,
+                    instance.state,
+                    instance.hall,
+                    instance.worker == null ? "" : instance.worker.id()));
         }
         return all;
     }
 
-    private void bringUp(Machine m) {
-        m.state = State.UP;
-        if (m.pool.equals(World.HEADROOM)) {
-            m.worker = null;
+    private void bringUp(SimInstance instance) {
+        instance.state = State.UP;
+        if (instance.pool.equals(World.SPARE_POOL)) {
+            instance.worker = null;
             return;
         }
-        long age = random.nextInt(MOST_AGE_MILLIS);
-        m.worker = new SimWorker(time, rules, random, facts(m, "w-" + lives++), age, crashing);
-        list(m.worker);
+        long age = random.nextInt(MAX_WORKER_AGE_MILLIS);
+        instance.worker = new SimWorker(time, rules, random, facts(instance, "w-" + nextWorkerNumber++), age, crashing);
+        putRecord(instance.worker);
     }
 
-    private WorkerFacts facts(Machine m, String id) {
+    private WorkerFacts facts(SimInstance instance, String id) {
         long born = World.EPOCH + time.now();
-        return new WorkerFacts(id, born, m.pool, m.address, m.hall, false, 0, room, List.of("kind", m.rack));
+        return new WorkerFacts(
+                id,
+                born,
+                instance.pool,
+                instance.address,
+                instance.hall,
+                false,
+                0,
+                room,
+                List.of("kind", instance.rack));
     }
 
-    private void list(SimWorker w) {
+    private void putRecord(SimWorker w) {
         store.set(World.WORKERS + w.id(), RecordCodec.write(w.facts()));
     }
 
-    private void unlistLater(SimWorker w) {
-        time.after(LAPSE_MILLIS, () -> {
+    private void removeRecordLater(SimWorker w) {
+        time.schedule(RECORD_TTL_MILLIS, () -> {
             if (workers().stream().noneMatch(o -> o.id().equals(w.id()))) {
                 store.clear(World.WORKERS + w.id());
             }
@@ -156,14 +170,14 @@
     }
 
     @Nullable
-    SimWorker atAddress(String address) {
-        Machine m = byAddress.get(address);
-        return m == null ? null : m.worker;
+    SimWorker workerAt(String address) {
+        SimInstance instance = byAddress.get(address);
+        return instance == null ? null : instance.worker;
     }
 
     List<SimWorker> workers() {
-        return machines.values().stream()
-                .map(m -> m.worker)
+        return instances.values().stream()
+                .map(instance -> instance.worker)
                 .filter(w -> w != null && w.isUp())
                 .toList();
     }
@@ -179,44 +193,44 @@
 
     /** A worker crashes and comes back under its id, knowing nothing of before. */
     void restart(SimWorker w, long downMillis) {
-        crash(w, downMillis, m -> {
-            m.state = State.UP;
-            m.worker = new SimWorker(time, rules, random, facts(m, w.id()), 0, crashing);
-            list(m.worker);
+        crash(w, downMillis, instance -> {
+            instance.state = State.UP;
+            instance.worker = new SimWorker(time, rules, random, facts(instance, w.id()), 0, crashing);
+            putRecord(instance.worker);
         });
     }
 
-    private void crash(SimWorker w, long downMillis, Consumer<Machine> comesBack) {
-        Machine m = machineOf(w);
-        if (m == null || !w.isUp()) {
+    private void crash(SimWorker w, long downMillis, Consumer<SimInstance> onReturn) {
+        SimInstance instance = findInstance(w);
+        if (instance == null || !w.isUp()) {
             return;
         }
-        w.crashUnasked();
-        unlistLater(w);
-        m.state = State.DOWN;
-        time.after(downMillis, () -> {
-            if (m.state == State.DOWN && m.worker == w) {
-                comesBack.accept(m);
+        w.crashUnexpectedly();
+        removeRecordLater(w);
+        instance.state = State.DOWN;
+        time.schedule(downMillis, () -> {
+            if (instance.state == State.DOWN && instance.worker == w) {
+                onReturn.accept(instance);
             }
         });
     }
 
     /** A worker drains, leaves, and another comes. */
     void drain(SimWorker w, long remainingMillis) {
-        Machine m = machineOf(w);
-        if (m == null || !w.isUp() || w.drainsSince() != World.NEVER) {
+        SimInstance instance = findInstance(w);
+        if (instance == null || !w.isUp() || w.drainingSince() != World.NEVER) {
             return;
         }
         w.drain(remainingMillis);
-        list(w);
-        time.after(remainingMillis, () -> {
-            if (m.worker == w && w.isUp()) {
+        putRecord(w);
+        time.schedule(remainingMillis, () -> {
+            if (instance.worker == w && w.isUp()) {
                 w.crash();
                 store.clear(World.WORKERS + w.id());
-                m.state = State.DOWN;
-                time.after(1_000, () -> {
-                    if (m.state == State.DOWN) {
-                        bringUp(m);
+                instance.state = State.DOWN;
+                time.schedule(1_000, () -> {
+                    if (instance.state == State.DOWN) {
+                        bringUp(instance);
                     }
                 });
             }
@@ -224,50 +238,55 @@
     }
 
     /** An entry is told to end, or dies: from then on it is not one of two owners that take turns. */
-    void leaves(String entry) {
-        leavers.add(entry);
+    void markLeaving(String entry) {
+        leavingEntries.add(entry);
     }
 
     /** The entry is back. */
-    void returns(String entry) {
-        if (leavers.remove(entry)) {
-            machines.values().stream().filter(m -> m.lastHolder.equals(entry)).forEach(m -> m.lastHolder = "");
+    void markReturned(String entry) {
+        if (leavingEntries.remove(entry)) {
+            instances.values().stream()
+                    .filter(instance -> instance.lastHolder.equals(entry))
+                    .forEach(instance -> instance.lastHolder = "");
         }
     }
 
     /** The store forgets a worker that lives on, for a while. */
     /** Another writer writes over a worker's record; if the worker lives, it puts its own again after a time. */
-    void spoil(SimWorker w, String value, long millis) {
-        OtherWriter.put(store, World.WORKERS + w.id(), value);
-        time.after(millis, () -> {
+    void corruptRecord(SimWorker w, String value, long millis) {
+        CorruptRecordWriter.put(store, World.WORKERS + w.id(), value);
+        time.schedule(millis, () -> {
             if (w.isUp()) {
-                list(w);
+                putRecord(w);
             } else if (workers().stream().noneMatch(o -> o.id().equals(w.id()))) {
                 store.clear(World.WORKERS + w.id());
             }
         });
     }
 
-    void lapse(SimWorker w, long millis) {
+    void loseRecord(SimWorker w, long millis) {
         store.clear(World.WORKERS + w.id());
-        time.after(millis, () -> {
+        time.schedule(millis, () -> {
             if (w.isUp()) {
-                list(w);
+                putRecord(w);
             }
         });
     }
 
-    private @Nullable Machine machineOf(SimWorker w) {
-        return machines.values().stream().filter(m -> m.worker == w).findFirst().orElse(null);
+    private @Nullable SimInstance findInstance(SimWorker w) {
+        return instances.values().stream()
+                .filter(instance -> instance.worker == w)
+                .findFirst()
+                .orElse(null);
     }
 
-    void ask(UpkeepWave w) {
+    void requestWave(UpkeepWave w) {
         waves.put(w.number(), w);
         store.set(World.WAVES + w.number(), RecordCodec.write(w));
     }
 
-    List<String> machineIds() {
-        return List.copyOf(machines.keySet());
+    List<String> instanceIds() {
+        return List.copyOf(instances.keySet());
     }
 
     /** Returns the instances of a wave that have not had their upkeep. */
@@ -281,79 +300,86 @@
     }
 
     /** Returns the runs that an instance's worker shows. */
-    List<RunningReport> tasksOn(String instance) {
-        Machine m = machines.get(instance);
-        return m == null || m.worker == null ? List.of() : m.worker.running();
+    List<RunningReport> tasksOn(String instanceId) {
+        SimInstance instance = instances.get(instanceId);
+        return instance == null || instance.worker == null ? List.of() : instance.worker.runningReports();
     }
 
-    CompletableFuture<List<PlatformInstance>> list(Net net) {
+    CompletableFuture<List<PlatformInstance>> list(Network net) {
         CompletableFuture<List<PlatformInstance>> f = new CompletableFuture<>();
-        net.deliver(net.latency() * 2, () -> f.complete(shown));
+        net.deliver(net.latency() * 2, () -> f.complete(visibleList));
         return f;
     }
 
-    CompletableFuture<InstanceOrderOutcome> order(Net net, String id, Errand errand, String holder, long fence) {
+    CompletableFuture<InstanceOrderOutcome> order(Network net, String id, Errand errand, String holder, long fence) {
         CompletableFuture<InstanceOrderOutcome> f = new CompletableFuture<>();
         net.deliver(net.latency(), () -> {
-            InstanceOrderOutcome o = carryOut(machines.get(id), errand, holder, fence);
+            InstanceOrderOutcome o = carryOut(instances.get(id), errand, holder, fence);
             net.deliver(net.latency(), () -> f.complete(o));
         });
         return f;
     }
 
-    private InstanceOrderOutcome carryOut(@Nullable Machine m, Errand errand, String holder, long fence) {
-        if (m == null) {
+    private InstanceOrderOutcome carryOut(@Nullable SimInstance instance, Errand errand, String holder, long fence) {
+        if (instance == null) {
             return InstanceOrderOutcome.IMPOSSIBLE;
         }
-        checkOne(m, holder, fence);
+        checkSingleOwner(instance, holder, fence);
         boolean upkeep = errand.kind() == Errand.Kind.UPKEEP;
-        if (upkeep ? maintained.contains(m.id + "/" + errand.target()) : m.pool.equals(errand.target())) {
+        if (upkeep ? maintained.contains(instance.id + "/" + errand.target()) : instance.pool.equals(errand.target())) {
             return InstanceOrderOutcome.TAKEN;
         }
-        if (m.state != State.UP || (m.worker != null && m.worker.drainsSince() != World.NEVER)) {
+        if (instance.state != State.UP || (instance.worker != null && instance.worker.drainingSince() != World.NEVER)) {
             return InstanceOrderOutcome.BUSY;
         }
         if (upkeep) {
-            checkWave(m, Long.parseLong(errand.target()));
+            checkWave(instance, Long.parseLong(errand.target()));
         }
-        takeAway(m, errand);
+        execute(instance, errand);
         return InstanceOrderOutcome.TAKEN;
     }
 
-    private void takeAway(Machine m, Errand errand) {
+    private void execute(SimInstance instance, Errand errand) {
         boolean upkeep = errand.kind() == Errand.Kind.UPKEEP;
-        SimWorker w = m.worker;
+        SimWorker w = instance.worker;
         if (w != null) {
-            w.takeAway(errand.toString());
-            unlistLater(w);
-            m.worker = null;
+            w.removeByOrder(errand.toString());
+            removeRecordLater(w);
+            instance.worker = null;
         }
         if (upkeep) {
-            maintained.add(m.id + "/" + errand.target());
+            maintained.add(instance.id + "/" + errand.target());
         } else {
-            m.pool = errand.target();
+            instance.pool = errand.target();
         }
-        m.state = upkeep ? State.UPKEEP : State.MOVING;
-        time.after(upkeep ? World.UPKEEP_MILLIS : World.MOVE_MILLIS, () -> bringUp(m));
+        instance.state = upkeep ? State.UPKEEP : State.MOVING;
+        time.schedule(upkeep ? World.UPKEEP_MILLIS : World.MOVE_MILLIS, () -> bringUp(instance));
     }
 
-    private void checkOne(Machine m, String holder, long fence) {
-        boolean other = !holder.equals(m.lastHolder) || fence != m.lastFence;
-        boolean leaving = leavers.contains(m.lastHolder);
-        boolean turns = other && !leaving && time.now() - m.lastOrderAt < World.LEASE_MILLIS && !m.lastHolder.isEmpty();
-        rules.require(Rules.Rule.ONE, !turns, holder + " orders " + m.id + " right after " + m.lastHolder);
-        rules.require(Rules.Rule.ONE, fence >= m.lastFence, holder + " orders " + m.id + " with an older fence");
-        m.lastHolder = holder;
-        m.lastFence = fence;
-        m.lastOrderAt = time.now();
+    private void checkSingleOwner(SimInstance instance, String holder, long fence) {
+        boolean ownerChanged = !holder.equals(instance.lastHolder) || fence != instance.lastFence;
+        boolean leaving = leavingEntries.contains(instance.lastHolder);
+        boolean alternates = ownerChanged
+                && !leaving
+                && time.now() - instance.lastOrderAt < World.LEASE_MILLIS
+                && !instance.lastHolder.isEmpty();
+        rules.require(
+                Rules.Rule.ONE, !alternates, holder + " orders " + instance.id + " right after " + instance.lastHolder);
+        rules.require(
+                Rules.Rule.ONE,
+                fence >= instance.lastFence,
+                holder + " orders " + instance.id + " with an older fence");
+        instance.lastHolder = holder;
+        instance.lastFence = fence;
+        instance.lastOrderAt = time.now();
     }
 
-    private void checkWave(Machine m, long number) {
+    private void checkWave(SimInstance instance, long number) {
         UpkeepWave w = Objects.requireNonNull(waves.get(number), "an order names a wave that was asked for");
         long down = w.instances().stream()
-                .map(machines::get)
+                .map(instances::get)
                 .filter(o -> o != null && o.state == State.UPKEEP)
                 .count();
-        rules.require(Rules.Rule.WAVE, down < w.most(), m.id + " goes down while " + down + " of the wave are");
+        rules.require(Rules.Rule.WAVE, down < w.most(), instance.id + " goes down while " + down + " of the wave are");
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
@@ -34,12 +34,12 @@
 
     @Override
     public CompletableFuture<InstanceList> list() {
-        CompletableFuture<InstanceList> f = new CompletableFuture<>();
+        CompletableFuture<InstanceList> future = new CompletableFuture<>();
         world.fleet
                 .list(world.net)
-                .thenAccept(all ->
-                        in.carry(WireBytes.ofInstances(all), () -> true, () -> f.complete(InstanceList.of(all))));
-        return f;
+                .thenAccept(all -> in.transfer(
+                        WireBytes.ofInstances(all), () -> true, () -> future.complete(InstanceList.of(all))));
+        return future;
     }
 
     @Override
--- a/model/src/main/java/org/lupinpaddle/model/SimStore.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStore.java
@@ -45,7 +45,7 @@
     private long compactedUpTo;
     private long nextLease = 1;
     /** While leases wait, none runs out. */
-    private boolean leasesWait;
+    private boolean leasesPaused;
 
     /** Some items in a row, whether more follow, and the store's revision. */
     record Page(List<StoreItem> items, boolean more, long revision) {}
@@ -55,12 +55,12 @@
 
     private static final class Lease {
         final long ttl;
-        long endsAt;
+        long expiresAt;
         final Set<String> keys = new HashSet<>();
 
-        Lease(long ttl, long endsAt) {
+        Lease(long ttl, long expiresAt) {
             this.ttl = ttl;
-            this.endsAt = endsAt;
+            this.expiresAt = expiresAt;
         }
     }
 
@@ -74,20 +74,20 @@
 
     /** Returns a page of the items under a prefix, from behind a key on. */
     Page page(String prefix, String after) {
-        List<StoreItem> some = new ArrayList<>();
+        List<StoreItem> page = new ArrayList<>();
         long bytes = 0;
         for (StoreItem i :
                 items.tailMap(after.isEmpty() ? prefix : after, after.isEmpty()).values()) {
             if (!i.key().startsWith(prefix)) {
                 break;
             }
-            if (some.size() >= PAGE_ITEMS || bytes >= PAGE_BYTES) {
-                return new Page(some, true, revision);
+            if (page.size() >= PAGE_ITEMS || bytes >= PAGE_BYTES) {
+                return new Page(page, true, revision);
             }
-            some.add(i);
+            page.add(i);
             bytes += WireBytes.of(i);
         }
-        return new Page(some, false, revision);
+        return new Page(page, false, revision);
     }
 
     /**
@@ -95,19 +95,19 @@
      * caller has looked already and seen nothing: with hundreds of watches, nobody can look at all history each time.
      */
     @Nullable
-    StoreChanges changes(String prefix, long after, long seen) {
+    StoreChanges changes(String prefix, long after, long seenRevision) {
         if (after < compactedUpTo) {
             return null;
         }
         List<StoreChanges.Change> all = new ArrayList<>();
-        long at = after;
-        for (Event e : history.subList(firstAfter(seen), history.size())) {
-            at = Math.max(at, e.revision);
+        long upTo = after;
+        for (Event e : history.subList(firstAfter(seenRevision), history.size())) {
+            upTo = Math.max(upTo, e.revision);
             if (e.key.startsWith(prefix)) {
                 all.add(new StoreChanges.Change(e.key, e.item));
             }
         }
-        return new StoreChanges(all, at);
+        return new StoreChanges(all, upTo);
     }
 
     private int firstAfter(long after) {
@@ -123,14 +123,14 @@
     }
 
     /** Runs a step at the next change. */
-    void atNextChange(Runnable r) {
+    void onNextChange(Runnable r) {
         watchers.add(r);
     }
 
     void compact() {
         compactedUpTo = revision;
         history.clear();
-        wake();
+        notifyWatchers();
     }
 
     CommitResult commit(StoreCommit c) {
@@ -150,7 +150,7 @@
             put(new StoreItem(p.key(), p.value(), revision, p.lease()));
         }
         c.removals().forEach(this::remove);
-        wake();
+        notifyWatchers();
         return new CommitResult(CommitResult.Outcome.MADE, revision, List.of());
     }
 
@@ -178,23 +178,23 @@
     void set(String key, String value) {
         revision++;
         put(new StoreItem(key, value, revision, 0));
-        wake();
+        notifyWatchers();
     }
 
     /** Writes bytes that are no text. */
-    void setNoText(String key) {
+    void putNonText(String key) {
         revision++;
         put(StoreItem.notText(key, revision, 0));
-        wake();
+        notifyWatchers();
     }
 
     void clear(String key) {
         revision++;
         remove(key);
-        wake();
+        notifyWatchers();
     }
 
-    private void wake() {
+    private void notifyWatchers() {
         List<Runnable> all = List.copyOf(watchers);
         watchers.clear();
         all.forEach(Runnable::run);
@@ -208,18 +208,18 @@
     }
 
     private void expireLater(long id, long millis) {
-        time.after(millis, () -> {
+        time.schedule(millis, () -> {
             Lease l = leases.get(id);
             if (l == null) {
                 return;
             }
-            if (leasesWait) {
-                l.endsAt = Math.max(l.endsAt, time.now() + l.ttl);
+            if (leasesPaused) {
+                l.expiresAt = Math.max(l.expiresAt, time.now() + l.ttl);
             }
-            if (time.now() >= l.endsAt) {
+            if (time.now() >= l.expiresAt) {
                 endLease(id);
             } else {
-                expireLater(id, l.endsAt - time.now());
+                expireLater(id, l.expiresAt - time.now());
             }
         });
     }
@@ -229,7 +229,7 @@
         if (l == null) {
             return false;
         }
-        l.endsAt = time.now() + l.ttl;
+        l.expiresAt = time.now() + l.ttl;
         return true;
     }
 
@@ -243,7 +243,7 @@
                 .filter(k -> items.containsKey(k) && items.get(k).lease() == id)
                 .toList()
                 .forEach(this::remove);
-        wake();
+        notifyWatchers();
         return true;
     }
 
@@ -255,10 +255,10 @@
                 .map(StoreItem::key)
                 .toList()
                 .forEach(this::remove);
-        wake();
+        notifyWatchers();
     }
 
-    void leasesWait(boolean wait) {
-        leasesWait = wait;
+    void setLeasesPaused(boolean wait) {
+        leasesPaused = wait;
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
@@ -36,22 +36,22 @@
 /** One entry's way to the store. */
 final class SimStorePort implements KeyValueStore {
 
-    private static final long CALL_MILLIS = 1_000;
+    private static final long CALL_TIMEOUT_MILLIS = 1_000;
     // What is large is waited for as long as it keeps arriving, and no longer than this.
-    private static final long TRANSFER_MILLIS = 10_000;
+    private static final long TRANSFER_TIMEOUT_MILLIS = 10_000;
     // Where links have a rate, as on the platform: what a renewal without answer tells is that the store is away.
-    private static final long KEEP_MILLIS = 500;
+    private static final long RENEWAL_TIMEOUT_MILLIS = 500;
 
     private final VirtualTime time;
     private final SimStore store;
-    private final Net net;
+    private final Network net;
     private final Sabotage sabotage;
     private final String entry;
     private final String hall;
     private final Link up;
     private final Link down;
     /** Calls whose answers are on their way back. */
-    private final Set<CompletableFuture<?>> answering = new HashSet<>();
+    private final Set<CompletableFuture<?>> answersInTransit = new HashSet<>();
 
     SimStorePort(World world, String entry, String hall, Link up, Link down) {
         this.time = world.time;
@@ -73,10 +73,10 @@
     public CompletableFuture<StorePage> page(String prefix, String after) {
         Call<SimStore.Page> reading = Call.large(p -> WireBytes.of(p.items()));
         return call(reading, () -> store.page(prefix, after), SimStorePort::refusal)
-                .thenApply(p -> new StorePage(told(p.items()), p.revision(), p.more()));
+                .thenApply(p -> new StorePage(withoutSabotagedItems(p.items()), p.revision(), p.more()));
     }
 
-    private List<StoreItem> told(List<StoreItem> items) {
+    private List<StoreItem> withoutSabotagedItems(List<StoreItem> items) {
         if (sabotage != Sabotage.RECENT_ORDERS_UNTOLD) {
             return items;
         }
@@ -87,30 +87,30 @@
 
     @Override
     public CompletableFuture<Long> openLease(long ttlMillis) {
-        return call(Call.small(CALL_MILLIS), () -> store.openLease(ttlMillis), SimStorePort::refusal);
+        return call(Call.small(CALL_TIMEOUT_MILLIS), () -> store.openLease(ttlMillis), SimStorePort::refusal);
     }
 
     @Override
     public CompletableFuture<Boolean> keepLease(long lease) {
         return call(
-                Call.small(down.isLimited() ? KEEP_MILLIS : CALL_MILLIS),
+                Call.small(down.isLimited() ? RENEWAL_TIMEOUT_MILLIS : CALL_TIMEOUT_MILLIS),
                 () -> store.keepLease(lease),
                 SimStorePort::refusal);
     }
 
     @Override
     public CompletableFuture<Boolean> endLease(long lease) {
-        return call(Call.small(CALL_MILLIS), () -> store.endLease(lease), SimStorePort::refusal);
+        return call(Call.small(CALL_TIMEOUT_MILLIS), () -> store.endLease(lease), SimStorePort::refusal);
     }
 
     @Override
     public CompletableFuture<CommitResult> commit(StoreCommit commit) {
         StoreCommit c = sabotage == Sabotage.QUOTAS_NOT_SHARED ? withoutQuotas(commit) : commit;
         return call(
-                new Call<>(true, WireBytes.of(c), WireBytes::of, CALL_MILLIS, CALL_MILLIS),
+                new Call<>(true, WireBytes.of(c), WireBytes::of, CALL_TIMEOUT_MILLIS, CALL_TIMEOUT_MILLIS),
                 () -> store.commit(c),
-                t -> new CommitResult(
-                        t == Trouble.REFUSED ? CommitResult.Outcome.REFUSED : CommitResult.Outcome.UNKNOWN,
+                fault -> new CommitResult(
+                        fault == CallFault.REFUSED ? CommitResult.Outcome.REFUSED : CommitResult.Outcome.UNKNOWN,
                         0,
                         List.of()));
     }
@@ -127,9 +127,9 @@
                 c.removals());
     }
 
-    private static <T> @Nullable T refusal(Trouble t) {
+    private static <T> @Nullable T refusal(CallFault fault) {
         throw new StoreException(
-                t == Trouble.REFUSED ? StoreException.Kind.REFUSED : StoreException.Kind.AWAY, "model: " + t);
+                fault == CallFault.REFUSED ? StoreException.Kind.REFUSED : StoreException.Kind.AWAY, "model: " + fault);
     }
 
     /**
@@ -137,132 +137,140 @@
      * begin, and how long for its end.
      */
     private record Call<T>(
-            boolean write, long bytes, ToLongFunction<T> answerBytes, long boundMillis, long transferMillis) {
+            boolean write, long bytes, ToLongFunction<T> answerBytes, long timeoutMillis, long transferTimeoutMillis) {
 
         static <T> Call<T> reading(ToLongFunction<T> answerBytes) {
-            return new Call<>(false, WireBytes.FRAME, answerBytes, CALL_MILLIS, CALL_MILLIS);
+            return new Call<>(false, WireBytes.OVERHEAD_BYTES, answerBytes, CALL_TIMEOUT_MILLIS, CALL_TIMEOUT_MILLIS);
         }
 
         static <T> Call<T> large(ToLongFunction<T> answerBytes) {
-            return new Call<>(false, WireBytes.FRAME, answerBytes, CALL_MILLIS, TRANSFER_MILLIS);
+            return new Call<>(
+                    false, WireBytes.OVERHEAD_BYTES, answerBytes, CALL_TIMEOUT_MILLIS, TRANSFER_TIMEOUT_MILLIS);
         }
 
         boolean isLarge() {
-            return transferMillis > boundMillis;
+            return transferTimeoutMillis > timeoutMillis;
         }
 
-        static <T> Call<T> small(long boundMillis) {
-            return new Call<>(true, WireBytes.FRAME, a -> WireBytes.FRAME, boundMillis, boundMillis);
+        static <T> Call<T> small(long timeoutMillis) {
+            return new Call<>(
+                    true, WireBytes.OVERHEAD_BYTES, a -> WireBytes.OVERHEAD_BYTES, timeoutMillis, timeoutMillis);
         }
     }
 
-    private <T> CompletableFuture<T> call(Call<T> c, Supplier<T> action, Function<Trouble, T> failure) {
-        CompletableFuture<T> f = new CompletableFuture<>();
-        long there = net.latency() + net.storeDelay;
-        boolean lost = c.isLarge() && net.pagesLost.contains(entry);
-        Trouble t = lost ? Trouble.SILENT : net.toStore(entry, hall, c.write);
-        up.carry(c.bytes, () -> !f.isDone(), () -> arrive(f, c, t, there, action, failure));
-        failLater(f, c.boundMillis, c.transferMillis, failure);
-        return f;
+    private <T> CompletableFuture<T> call(Call<T> c, Supplier<T> action, Function<CallFault, T> failure) {
+        CompletableFuture<T> future = new CompletableFuture<>();
+        long delay = net.latency() + net.storeDelay;
+        boolean lost = c.isLarge() && net.entriesLosingPages.contains(entry);
+        CallFault fault = lost ? CallFault.SILENT : net.faultToStore(entry, hall, c.write);
+        up.transfer(c.bytes, () -> !future.isDone(), () -> arrive(future, c, fault, delay, action, failure));
+        scheduleTimeout(future, c.timeoutMillis, c.transferTimeoutMillis, failure);
+        return future;
     }
 
     private <T> void arrive(
-            CompletableFuture<T> f,
+            CompletableFuture<T> future,
             Call<T> c,
-            Trouble t,
-            long there,
+            CallFault fault,
+            long delay,
             Supplier<T> action,
-            Function<Trouble, T> failure) {
-        switch (t) {
+            Function<CallFault, T> failure) {
+        switch (fault) {
             case NONE ->
-                net.deliver(there, () -> {
+                net.deliver(delay, () -> {
                     T answer = action.get();
-                    net.deliver(net.latency(), () -> carryBack(f, c.answerBytes.applyAsLong(answer), answer));
+                    net.deliver(net.latency(), () -> transferAnswer(future, c.answerBytes.applyAsLong(answer), answer));
                 });
-            case REFUSED -> net.deliver(there, () -> fail(f, t, failure));
+            case REFUSED -> net.deliver(delay, () -> fail(future, fault, failure));
             case SILENT -> {}
-            case ANSWER_LOST -> net.deliver(there, unheard(action));
-            case LATE -> net.deliver(net.lateness(), unheard(action));
+            case ANSWER_LOST -> net.deliver(delay, withoutAnswer(action));
+            case LATE -> net.deliver(net.lateDelay(), withoutAnswer(action));
         }
     }
 
     /** Gives a call up when its answer has not begun to arrive by then, or has not ended by a later moment. */
-    private <T> void failLater(
-            CompletableFuture<T> f, long boundMillis, long transferMillis, Function<Trouble, T> failure) {
-        time.after(boundMillis, () -> {
-            if (!answering.contains(f)) {
-                fail(f, Trouble.SILENT, failure);
+    private <T> void scheduleTimeout(
+            CompletableFuture<T> future,
+            long timeoutMillis,
+            long transferTimeoutMillis,
+            Function<CallFault, T> failure) {
+        time.schedule(timeoutMillis, () -> {
+            if (!answersInTransit.contains(future)) {
+                fail(future, CallFault.SILENT, failure);
             } else {
-                time.after(transferMillis - boundMillis, () -> fail(f, Trouble.SILENT, failure));
+                time.schedule(transferTimeoutMillis - timeoutMillis, () -> fail(future, CallFault.SILENT, failure));
             }
         });
     }
 
-    private <T> void carryBack(CompletableFuture<T> f, long bytes, T answer) {
-        answering.add(f);
-        f.whenComplete((a, why) -> answering.remove(f));
-        down.carry(bytes, () -> !f.isDone(), () -> f.complete(answer));
+    private <T> void transferAnswer(CompletableFuture<T> future, long bytes, T answer) {
+        answersInTransit.add(future);
+        future.whenComplete((a, why) -> answersInTransit.remove(future));
+        down.transfer(bytes, () -> !future.isDone(), () -> future.complete(answer));
     }
 
-    private static <T> Runnable unheard(Supplier<T> action) {
+    private static <T> Runnable withoutAnswer(Supplier<T> action) {
         return () -> {
             var unused = action.get();
         };
     }
 
-    private static <T> void fail(CompletableFuture<T> f, Trouble t, Function<Trouble, T> failure) {
-        if (f.isDone()) {
+    private static <T> void fail(CompletableFuture<T> future, CallFault fault, Function<CallFault, T> failure) {
+        if (future.isDone()) {
             return;
         }
         try {
-            f.complete(failure.apply(t));
+            future.complete(failure.apply(fault));
         } catch (StoreException e) {
-            f.completeExceptionally(e);
+            future.completeExceptionally(e);
         }
     }
 
     @Override
     public CompletableFuture<StoreChanges> watch(String prefix, long afterRevision, long waitMillis) {
-        CompletableFuture<StoreChanges> f = new CompletableFuture<>();
-        Trouble t = net.toStore(entry, hall, false);
-        if (t == Trouble.REFUSED) {
-            net.deliver(net.latency(), () -> fail(f, t, SimStorePort::refusal));
-        } else if (t == Trouble.NONE) {
+        CompletableFuture<StoreChanges> future = new CompletableFuture<>();
+        CallFault fault = net.faultToStore(entry, hall, false);
+        if (fault == CallFault.REFUSED) {
+            net.deliver(net.latency(), () -> fail(future, fault, SimStorePort::refusal));
+        } else if (fault == CallFault.NONE) {
             long end = time.now() + waitMillis;
-            net.deliver(net.latency() + net.storeDelay, () -> look(f, prefix, afterRevision, afterRevision, end));
-            time.after(waitMillis, () -> answerEmpty(f, afterRevision));
+            net.deliver(
+                    net.latency() + net.storeDelay,
+                    () -> pollChanges(future, prefix, afterRevision, afterRevision, end));
+            time.schedule(waitMillis, () -> answerEmpty(future, afterRevision));
         }
-        failLater(f, waitMillis + CALL_MILLIS, waitMillis + TRANSFER_MILLIS, SimStorePort::refusal);
-        return f;
+        scheduleTimeout(
+                future, waitMillis + CALL_TIMEOUT_MILLIS, waitMillis + TRANSFER_TIMEOUT_MILLIS, SimStorePort::refusal);
+        return future;
     }
 
-    private void look(CompletableFuture<StoreChanges> f, String prefix, long after, long seen, long end) {
-        if (f.isDone() || time.now() > end) {
+    private void pollChanges(CompletableFuture<StoreChanges> future, String prefix, long after, long seen, long end) {
+        if (future.isDone() || time.now() > end) {
             return;
         }
         StoreChanges c = store.changes(prefix, after, seen);
         if (c == null) {
-            f.completeExceptionally(new StoreException(StoreException.Kind.HISTORY_GONE, "model"));
+            future.completeExceptionally(new StoreException(StoreException.Kind.HISTORY_GONE, "model"));
         } else if (c.changes().isEmpty()) {
             long upTo = store.revision();
-            store.atNextChange(() -> look(f, prefix, after, upTo, end));
+            store.onNextChange(() -> pollChanges(future, prefix, after, upTo, end));
         } else {
-            answer(f, c);
+            answer(future, c);
         }
     }
 
     /** Over a link with a rate, an answer with changes may be on its way by now: then there is no second one. */
-    private void answerEmpty(CompletableFuture<StoreChanges> f, long after) {
-        if (!down.isLimited() || !answering.contains(f)) {
-            answer(f, new StoreChanges(List.of(), after));
+    private void answerEmpty(CompletableFuture<StoreChanges> future, long after) {
+        if (!down.isLimited() || !answersInTransit.contains(future)) {
+            answer(future, new StoreChanges(List.of(), after));
         }
     }
 
     /** A watch that is under way as a cut begins says nothing more. */
-    private void answer(CompletableFuture<StoreChanges> f, StoreChanges c) {
-        if (net.toStore(entry, hall, false) == Trouble.NONE) {
-            answering.add(f);
-            net.deliver(net.latency(), () -> carryBack(f, WireBytes.of(c), c));
+    private void answer(CompletableFuture<StoreChanges> future, StoreChanges c) {
+        if (net.faultToStore(entry, hall, false) == CallFault.NONE) {
+            answersInTransit.add(future);
+            net.deliver(net.latency(), () -> transferAnswer(future, WireBytes.of(c), c));
         }
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimWorker.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorker.java
@@ -41,46 +41,46 @@
 /** One life of a worker: keeps what runs until its deadline, on a clock of its own, and lists what has ended. */
 final class SimWorker {
 
-    static final long MOST_HOLD_MILLIS = 10_000;
+    static final long MAX_HOLD_MILLIS = 10_000;
     static final long STOP_MILLIS = 300;
     private static final long WARM_UP_MILLIS = 500;
-    private static final double SLOWEST = 0.98;
+    private static final double MIN_CLOCK_RATE = 0.98;
 
     private final VirtualTime time;
     private final Rules rules;
     private final Random random;
     private final Supplier<Optional<CrashingTasks>> crashing;
-    private final long bornAt;
-    private final double rate;
+    private final long startedAt;
+    private final double clockRate;
     private WorkerFacts facts;
     private boolean up = true;
-    private long takenAwayAt = World.NEVER;
-    private boolean lapsedAsTakenAway;
-    private long drainsSince = World.NEVER;
+    private long removedAt = World.NEVER;
+    private boolean leaseLapsedAtRemoval;
+    private long drainingSince = World.NEVER;
     private long fence;
-    private long deadline;
-    private int lapses;
+    private long leaseDeadline;
+    private int leaseLapses;
     private long nextEnd = 1;
     private long firstAnswerAt = World.NEVER;
-    private final Map<Name, Running> running = new LinkedHashMap<>();
-    private final Map<Name, Integer> closedRuns = new HashMap<>();
-    private final List<Ended> ends = new ArrayList<>();
-    private final List<Runnable> holds = new ArrayList<>();
-    boolean failsAll;
-    boolean standsStill;
+    private final Map<TaskKey, ActiveRun> running = new LinkedHashMap<>();
+    private final Map<TaskKey, Integer> highestClosedRun = new HashMap<>();
+    private final List<EndedRun> ends = new ArrayList<>();
+    private final List<Runnable> pendingHolds = new ArrayList<>();
+    boolean failsAllTasks;
+    boolean stalled;
     double slowness = 1;
 
-    private record Name(String job, TaskId task) {}
+    private record TaskKey(String job, TaskId task) {}
 
-    private record Ended(EndReport report, int lapsesBefore, SimEnd truth) {}
+    private record EndedRun(EndReport report, int leaseLapsesBefore, CompletedRun completion) {}
 
-    private static final class Running {
+    private static final class ActiveRun {
         final int run;
         final long begunAt;
         boolean stopping;
-        boolean over;
+        boolean ended;
 
-        Running(int run, long begunAt) {
+        ActiveRun(int run, long begunAt) {
             this.run = run;
             this.begunAt = begunAt;
         }
@@ -98,8 +98,8 @@
         this.random = random;
         this.facts = facts;
         this.crashing = crashing;
-        this.bornAt = time.now() - ageMillis;
-        this.rate = SLOWEST + random.nextDouble() * (1 - SLOWEST);
+        this.startedAt = time.now() - ageMillis;
+        this.clockRate = MIN_CLOCK_RATE + random.nextDouble() * (1 - MIN_CLOCK_RATE);
     }
 
     String id() {
@@ -107,7 +107,7 @@
     }
 
     /** Returns which life this is: the id alone may be that of several. */
-    String life() {
+    String incarnationId() {
         return facts.id() + "@" + facts.bornMillis();
     }
 
@@ -127,8 +127,8 @@
         return up;
     }
 
-    long drainsSince() {
-        return drainsSince;
+    long drainingSince() {
+        return drainingSince;
     }
 
     boolean isEmpty() {
@@ -136,11 +136,11 @@
     }
 
     private long clock() {
-        return (long) ((time.now() - bornAt) * rate);
+        return (long) ((time.now() - startedAt) * clockRate);
     }
 
     void drain(long remainingMillis) {
-        drainsSince = time.now();
+        drainingSince = time.now();
         facts = new WorkerFacts(
                 facts.id(),
                 facts.bornMillis(),
@@ -154,215 +154,216 @@
     }
 
     /** It crashes, which nobody ordered. */
-    void crashUnasked() {
-        running.keySet().forEach(n -> rules.crashedUnder(n.job, n.task));
+    void crashUnexpectedly() {
+        running.keySet().forEach(key -> rules.onWorkerCrash(key.job, key.task));
         crash();
     }
 
     /** Everything that runs dies with the worker. */
     void crash() {
         up = false;
-        running.forEach((n, r) -> {
-            r.over = true;
-            rules.ended(this, n.job, n.task, r.run, EndKind.LAPSED);
+        running.forEach((key, r) -> {
+            r.ended = true;
+            rules.onRunEnded(this, key.job, key.task, r.run, EndKind.LAPSED);
         });
         running.clear();
     }
 
     /** An order takes the worker away. */
-    void takeAway(String by) {
-        takenAwayAt = time.now();
-        lapsedAsTakenAway = clock() >= deadline;
-        running.forEach((n, r) -> rules.takenAway(this, n.job, n.task, by));
+    void removeByOrder(String order) {
+        removedAt = time.now();
+        leaseLapsedAtRemoval = clock() >= leaseDeadline;
+        running.forEach((key, r) -> rules.onRemovedByOrder(this, key.job, key.task, order));
         crash();
     }
 
-    OrderOutcome start(StartOrder o, long byFence, boolean late) {
-        if (byFence < fence) {
+    OrderOutcome start(StartOrder o, long orderFence, boolean late) {
+        if (orderFence < fence) {
             return OrderOutcome.FENCED;
         }
-        fence = byFence;
+        fence = orderFence;
         if (o.deadlineMillis() < clock()) {
             return OrderOutcome.LATE;
         }
-        extend(o.deadlineMillis());
-        Name n = new Name(o.jobId(), o.task());
-        Running there = running.get(n);
-        if (there != null && there.run == o.run()) {
-            return there.stopping ? OrderOutcome.OLD_RUN : OrderOutcome.ACCEPTED;
+        extendLease(o.deadlineMillis());
+        TaskKey key = new TaskKey(o.jobId(), o.task());
+        ActiveRun current = running.get(key);
+        if (current != null && current.run == o.run()) {
+            return current.stopping ? OrderOutcome.OLD_RUN : OrderOutcome.ACCEPTED;
         }
-        if (there != null || o.run() <= closedRuns.getOrDefault(n, 0)) {
+        if (current != null || o.run() <= highestClosedRun.getOrDefault(key, 0)) {
             return OrderOutcome.OLD_RUN;
         }
         StepSpec step = World.step(rules, o.jobId(), o.task());
-        if (step != null && !free().holds(Room.of(step))) {
+        if (step != null && !freeRoom().holds(Room.of(step))) {
             return OrderOutcome.NO_ROOM;
         }
-        rules.started(this, o, late);
-        begin(n, o.run(), step);
+        rules.onStart(this, o, late);
+        beginRun(key, o.run(), step);
         return OrderOutcome.ACCEPTED;
     }
 
-    private Room free() {
+    private Room freeRoom() {
         Room used = Room.NONE;
-        for (Name n : running.keySet()) {
-            StepSpec s = World.step(rules, n.job, n.task);
+        for (TaskKey key : running.keySet()) {
+            StepSpec s = World.step(rules, key.job, key.task);
             used = s == null ? used : used.plus(Room.of(s));
         }
         return facts.room().minus(used);
     }
 
-    private void begin(Name n, int run, @Nullable StepSpec step) {
-        Running r = new Running(run, time.now());
-        running.put(n, r);
-        if (step == null || standsStill) {
+    private void beginRun(TaskKey key, int run, @Nullable StepSpec step) {
+        ActiveRun r = new ActiveRun(run, time.now());
+        running.put(key, r);
+        if (step == null || stalled) {
             return;
         }
-        crashing.get().ifPresent(c -> crashIfGuilty(c, n, r));
-        boolean fails = failsAll || World.isHopeless(rules, n.job) || (run == 1 && random.nextInt(100) == 0);
+        crashing.get().ifPresent(c -> scheduleCrash(c, key, r));
+        boolean fails = failsAllTasks || World.alwaysFails(rules, key.job) || (run == 1 && random.nextInt(100) == 0);
         if (fails) {
-            time.after(50 + random.nextInt(200), () -> endIf(n, r, EndKind.FAILED));
+            time.schedule(50 + random.nextInt(200), () -> endRunIfActive(key, r, EndKind.FAILED));
         } else if (step.longRunning()) {
-            time.after(WARM_UP_MILLIS, () -> {
-                if (!r.over && up) {
-                    rules.atWork(n.job, n.task);
+            time.schedule(WARM_UP_MILLIS, () -> {
+                if (!r.ended && up) {
+                    rules.onServing(key.job, key.task);
                 }
             });
         } else {
-            long millis = (long) (World.trueMillis(rules, n.job, n.task) * slowness);
-            time.after(millis, () -> endIf(n, r, EndKind.DONE));
+            long millis = (long) (World.taskMillis(rules, key.job, key.task) * slowness);
+            time.schedule(millis, () -> endRunIfActive(key, r, EndKind.DONE));
         }
     }
 
-    private void crashIfGuilty(CrashingTasks tasks, Name n, Running r) {
-        tasks.crashesAfter(n.job, n.task)
-                .ifPresent(millis -> time.after(millis, () -> {
-                    if (!r.over && up) {
-                        rules.crashedByTask(n.job, n.task);
-                        tasks.crashed(this, n.job, n.task);
+    private void scheduleCrash(CrashingTasks crashingTasks, TaskKey key, ActiveRun r) {
+        crashingTasks
+                .crashDelayMillis(key.job, key.task)
+                .ifPresent(millis -> time.schedule(millis, () -> {
+                    if (!r.ended && up) {
+                        rules.onCrashByTask(key.job, key.task);
+                        crashingTasks.onCrash(this, key.job, key.task);
                     }
                 }));
     }
 
-    private void endIf(Name n, Running r, EndKind kind) {
-        if (!r.over && up) {
-            end(n, r, kind);
+    private void endRunIfActive(TaskKey key, ActiveRun r, EndKind kind) {
+        if (!r.ended && up) {
+            endRun(key, r, kind);
         }
     }
 
-    private void end(Name n, Running r, EndKind kind) {
-        r.over = true;
-        running.remove(n);
-        closedRuns.merge(n, r.run, Math::max);
-        rules.ended(this, n.job, n.task, r.run, kind);
-        SimEnd truth = new SimEnd(this, lapses);
+    private void endRun(TaskKey key, ActiveRun r, EndKind kind) {
+        r.ended = true;
+        running.remove(key);
+        highestClosedRun.merge(key, r.run, Math::max);
+        rules.onRunEnded(this, key.job, key.task, r.run, kind);
+        CompletedRun completion = new CompletedRun(this, leaseLapses);
         if (kind == EndKind.DONE) {
-            rules.done(n.job, n.task, truth);
+            rules.onTaskDone(key.job, key.task, completion);
         }
-        ends.add(new Ended(new EndReport(nextEnd++, n.job, n.task, r.run, kind, ""), lapses, truth));
-        List<Runnable> waiting = List.copyOf(holds);
-        holds.clear();
+        ends.add(new EndedRun(new EndReport(nextEnd++, key.job, key.task, r.run, kind, ""), leaseLapses, completion));
+        List<Runnable> waiting = List.copyOf(pendingHolds);
+        pendingHolds.clear();
         waiting.forEach(Runnable::run);
     }
 
-    OrderOutcome stop(StopOrder o, long byFence) {
-        if (byFence < fence) {
+    OrderOutcome stop(StopOrder o, long orderFence) {
+        if (orderFence < fence) {
             return OrderOutcome.FENCED;
         }
-        fence = byFence;
-        Name n = new Name(o.jobId(), o.task());
-        closedRuns.merge(n, o.run(), Math::max);
-        Running r = running.get(n);
+        fence = orderFence;
+        TaskKey key = new TaskKey(o.jobId(), o.task());
+        highestClosedRun.merge(key, o.run(), Math::max);
+        ActiveRun r = running.get(key);
         if (r != null && r.run == o.run() && !r.stopping) {
-            rules.takenAway(this, o.jobId(), o.task(), "a stop");
+            rules.onRemovedByOrder(this, o.jobId(), o.task(), "a stop");
             r.stopping = true;
-            time.after(random.nextInt((int) STOP_MILLIS), () -> endIf(n, r, EndKind.STOPPED));
+            time.schedule(random.nextInt((int) STOP_MILLIS), () -> endRunIfActive(key, r, EndKind.STOPPED));
         }
         return OrderOutcome.ACCEPTED;
     }
 
-    private void extend(long to) {
-        long most = clock() + MOST_HOLD_MILLIS;
-        if (clock() >= deadline) {
+    private void extendLease(long deadlineMillis) {
+        long maxDeadline = clock() + MAX_HOLD_MILLIS;
+        if (clock() >= leaseDeadline) {
             // Also with nothing running: what the worker was held for is over.
-            lapses++;
+            leaseLapses++;
         }
-        deadline = Math.max(deadline, Math.min(to, most));
-        long left = (long) ((deadline - clock()) / rate) + 1;
-        time.after(left, this::lapseIfDue);
+        leaseDeadline = Math.max(leaseDeadline, Math.min(deadlineMillis, maxDeadline));
+        long remaining = (long) ((leaseDeadline - clock()) / clockRate) + 1;
+        time.schedule(remaining, this::expireLeaseIfDue);
     }
 
-    private void lapseIfDue() {
-        if (up && clock() >= deadline && !running.isEmpty()) {
-            new ArrayList<>(running.entrySet()).forEach(e -> end(e.getKey(), e.getValue(), EndKind.LAPSED));
+    private void expireLeaseIfDue() {
+        if (up && clock() >= leaseDeadline && !running.isEmpty()) {
+            new ArrayList<>(running.entrySet()).forEach(e -> endRun(e.getKey(), e.getValue(), EndKind.LAPSED));
         }
     }
 
     /** Answers a hold at once, or when something ends, or when its time is up. */
-    void hold(HoldOrder o, long byFence, Consumer<HoldAnswer> answer, Runnable fenced) {
-        if (byFence < fence) {
+    void hold(HoldOrder o, long orderFence, Consumer<HoldAnswer> answer, Runnable fenced) {
+        if (orderFence < fence) {
             fenced.run();
             return;
         }
-        fence = byFence;
+        fence = orderFence;
         if (o.deadlineMillis() > 0) {
-            extend(o.deadlineMillis());
+            extendLease(o.deadlineMillis());
         }
-        forget(o.acknowledgedUpTo());
+        acknowledge(o.acknowledgedUpTo());
         boolean[] answered = new boolean[1];
-        Runnable once = () -> {
+        Runnable answerOnce = () -> {
             if (!answered[0] && up) {
                 answered[0] = true;
                 answer.accept(answer());
             }
         };
         if (!ends.isEmpty() || o.waitMillis() == 0) {
-            once.run();
+            answerOnce.run();
         } else {
-            holds.add(once);
-            time.after(o.waitMillis(), once);
+            pendingHolds.add(answerOnce);
+            time.schedule(o.waitMillis(), answerOnce);
         }
     }
 
-    private void forget(long upTo) {
+    private void acknowledge(long upTo) {
         while (!ends.isEmpty() && ends.get(0).report.number() <= upTo) {
-            Ended e = ends.remove(0);
-            rules.noted(this, e.report, lapses > e.lapsesBefore);
+            EndedRun e = ends.remove(0);
+            rules.onAcknowledged(this, e.report, leaseLapses > e.leaseLapsesBefore);
         }
     }
 
     /** Returns whether an end can still be learnt here, or could before an order took the worker away. */
-    boolean hasKept(SimEnd e) {
-        boolean held = lapses == e.lapsesBefore;
+    boolean retains(CompletedRun e) {
+        boolean held = leaseLapses == e.leaseLapsesBefore;
         if (up) {
-            return held && clock() < deadline;
+            return held && clock() < leaseDeadline;
         }
-        return held && takenAwayAt != World.NEVER && !lapsedAsTakenAway && e.wasListedBy(takenAwayAt);
+        return held && removedAt != World.NEVER && !leaseLapsedAtRemoval && e.wasReportedBefore(removedAt);
     }
 
     /** Returns whether it has answered an owner's poll for so long. */
-    boolean hasBeenReachedFor(long millis) {
+    boolean hasAnsweredFor(long millis) {
         return time.now() - firstAnswerAt >= millis;
     }
 
     private HoldAnswer answer() {
         firstAnswerAt = Math.min(firstAnswerAt, time.now());
-        ends.forEach(e -> e.truth.listed(time.now()));
+        ends.forEach(e -> e.completion.reported(time.now()));
         return new HoldAnswer(
                 facts.bornMillis(),
                 clock(),
-                running(),
-                ends.stream().map(Ended::report).toList());
+                runningReports(),
+                ends.stream().map(EndedRun::report).toList());
     }
 
     /** Returns the runs as an answer to a hold shows them. */
-    List<RunningReport> running() {
+    List<RunningReport> runningReports() {
         List<RunningReport> all = new ArrayList<>();
-        running.forEach((n, r) -> all.add(new RunningReport(n.job, n.task, r.run, "", percent(r), -1)));
+        running.forEach((key, r) -> all.add(new RunningReport(key.job, key.task, r.run, "", percent(r), -1)));
         return all;
     }
 
-    private int percent(Running r) {
-        return standsStill ? 0 : (int) Math.min(100, (time.now() - r.begunAt) * 100 / WARM_UP_MILLIS);
+    private int percent(ActiveRun r) {
+        return stalled ? 0 : (int) Math.min(100, (time.now() - r.begunAt) * 100 / WARM_UP_MILLIS);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkerPort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkerPort.java
@@ -29,11 +29,11 @@
 /** One entry's way to the workers. */
 final class SimWorkerPort implements WorkerOrders {
 
-    private static final long CALL_MILLIS = 500;
+    private static final long CALL_TIMEOUT_MILLIS = 500;
     // Until a life has answered for so long, nobody could have told it to refuse an order that was meant for an earlier
     // one:
     // such an order is left out, since no owner can keep the rules with it.
-    private static final long CLOSED_WITHIN_MILLIS = 1_000;
+    private static final long REFUSABLE_AFTER_MILLIS = 1_000;
 
     private final World world;
     private final String hall;
@@ -41,7 +41,7 @@
     private final Link in;
 
     /** How an order is carried out: under which fence, and whether seconds after its caller has stopped waiting. */
-    private record Carried(long fence, boolean late) {}
+    private record Execution(long fence, boolean late) {}
 
     SimWorkerPort(World world, String hall, Link out, Link in) {
         this.world = world;
@@ -50,11 +50,11 @@
         this.in = in;
     }
 
-    private long shown(long fence) {
+    private long effective(long fence) {
         return world.sabotage == Sabotage.NO_FENCES ? 1 : fence;
     }
 
-    private HoldOrder shown(HoldOrder o) {
+    private HoldOrder effective(HoldOrder o) {
         return world.sabotage == Sabotage.ENDS_FORGOTTEN_EARLY
                 ? new HoldOrder(o.worker(), o.deadlineMillis(), Long.MAX_VALUE, o.waitMillis())
                 : o;
@@ -65,110 +65,115 @@
         if (world.sabotage == Sabotage.LIMITED_TASKS_REFUSED && isLimited(o)) {
             return CompletableFuture.completedFuture(OrderOutcome.UNHEALTHY);
         }
-        return order(o.worker(), WireBytes.of(o), (w, c) -> w.start(o, c.fence, c.late), shown(fence));
+        return order(o.worker(), WireBytes.of(o), (w, c) -> w.start(o, c.fence, c.late), effective(fence));
     }
 
     private boolean isLimited(StartOrder o) {
-        Rules.JobTruth job = world.rules.job(o.jobId());
+        Rules.TrackedJob job = world.rules.job(o.jobId());
         return job != null
-                && !job.lasting()
+                && !job.isLongRunning()
                 && world.workspaces().filter(w -> w.limits(job.workspace)).isPresent();
     }
 
     @Override
     public CompletableFuture<OrderOutcome> stop(StopOrder o, long fence) {
-        return order(o.worker(), WireBytes.FRAME, (w, c) -> w.stop(o, c.fence), shown(fence));
+        return order(o.worker(), WireBytes.OVERHEAD_BYTES, (w, c) -> w.stop(o, c.fence), effective(fence));
     }
 
     @Override
     public CompletableFuture<OrderOutcome> pace(PaceOrder o, long fence) {
         // The model has no tasks that disturb one another: what is paced works on.
-        return order(o.worker(), WireBytes.FRAME, (w, c) -> OrderOutcome.ACCEPTED, fence);
+        return order(o.worker(), WireBytes.OVERHEAD_BYTES, (w, c) -> OrderOutcome.ACCEPTED, fence);
     }
 
     private CompletableFuture<OrderOutcome> order(
-            WorkerFacts to, long bytes, BiFunction<SimWorker, Carried, OrderOutcome> action, long fence) {
-        CompletableFuture<OrderOutcome> f = new CompletableFuture<>();
-        SimWorker w = world.fleet.atAddress(to.address());
+            WorkerFacts to, long bytes, BiFunction<SimWorker, Execution, OrderOutcome> action, long fence) {
+        CompletableFuture<OrderOutcome> future = new CompletableFuture<>();
+        SimWorker w = world.fleet.workerAt(to.address());
         if (w == null) {
             // Whoever is down keeps silent here; a port that refuses is the easier case.
-            world.time.after(CALL_MILLIS, () -> f.complete(OrderOutcome.UNKNOWN));
-            return f;
+            world.time.schedule(CALL_TIMEOUT_MILLIS, () -> future.complete(OrderOutcome.UNKNOWN));
+            return future;
         }
-        Trouble t = world.net.toWorker(hall, w, true);
-        out.carry(bytes, () -> !f.isDone(), () -> arrive(w, to, action, fence, t, f));
-        world.time.after(CALL_MILLIS, () -> f.complete(OrderOutcome.UNKNOWN));
-        return f;
+        CallFault fault = world.net.faultToWorker(hall, w, true);
+        out.transfer(bytes, () -> !future.isDone(), () -> arrive(w, to, action, fence, fault, future));
+        world.time.schedule(CALL_TIMEOUT_MILLIS, () -> future.complete(OrderOutcome.UNKNOWN));
+        return future;
     }
 
     private void arrive(
             SimWorker w,
             WorkerFacts to,
-            BiFunction<SimWorker, Carried, OrderOutcome> action,
+            BiFunction<SimWorker, Execution, OrderOutcome> action,
             long fence,
-            Trouble t,
-            CompletableFuture<OrderOutcome> f) {
-        if (t == Trouble.NONE) {
+            CallFault fault,
+            CompletableFuture<OrderOutcome> future) {
+        if (fault == CallFault.NONE) {
             world.net.deliver(world.net.latency(), () -> {
-                OrderOutcome o = carryOut(w, to, action, new Carried(fence, false));
-                if (o != OrderOutcome.UNKNOWN && world.net.toWorker(hall, w, false) == Trouble.NONE) {
+                OrderOutcome o = execute(w, to, action, new Execution(fence, false));
+                if (o != OrderOutcome.UNKNOWN && world.net.faultToWorker(hall, w, false) == CallFault.NONE) {
                     world.net.deliver(
                             world.net.latency(),
-                            () -> in.carry(WireBytes.FRAME, () -> !f.isDone(), () -> f.complete(o)));
+                            () -> in.transfer(
+                                    WireBytes.OVERHEAD_BYTES, () -> !future.isDone(), () -> future.complete(o)));
                 }
             });
-        } else if (t == Trouble.LATE) {
-            world.net.deliver(world.net.lateness(), () -> {
+        } else if (fault == CallFault.LATE) {
+            world.net.deliver(world.net.lateDelay(), () -> {
                 // Whoever lives at the address by then: a worker that has restarted under its id takes it for its own.
-                SimWorker then = world.fleet.atAddress(to.address());
-                if (then != null && (then == w || then.hasBeenReachedFor(CLOSED_WITHIN_MILLIS))) {
-                    carryOut(then, to, action, new Carried(fence, true));
+                SimWorker current = world.fleet.workerAt(to.address());
+                if (current != null && (current == w || current.hasAnsweredFor(REFUSABLE_AFTER_MILLIS))) {
+                    execute(current, to, action, new Execution(fence, true));
                 }
             });
         }
     }
 
-    private static OrderOutcome carryOut(
-            SimWorker w, WorkerFacts to, BiFunction<SimWorker, Carried, OrderOutcome> action, Carried how) {
+    private static OrderOutcome execute(
+            SimWorker w, WorkerFacts to, BiFunction<SimWorker, Execution, OrderOutcome> action, Execution execution) {
         if (!w.isUp()) {
             return OrderOutcome.UNKNOWN;
         }
-        return w.id().equals(to.id()) ? action.apply(w, how) : OrderOutcome.OTHER_LIFE;
+        return w.id().equals(to.id()) ? action.apply(w, execution) : OrderOutcome.OTHER_LIFE;
     }
 
     @Override
     public CompletableFuture<HoldResult> hold(HoldOrder o, long fence) {
-        CompletableFuture<HoldResult> f = new CompletableFuture<>();
-        SimWorker w = world.fleet.atAddress(o.worker().address());
-        if (w != null && world.net.toWorker(hall, w, false) == Trouble.NONE) {
-            out.carry(
-                    WireBytes.FRAME,
-                    () -> !f.isDone(),
-                    () -> world.net.deliver(world.net.latency(), () -> arrive(w, shown(o), shown(fence), f)));
+        CompletableFuture<HoldResult> future = new CompletableFuture<>();
+        SimWorker w = world.fleet.workerAt(o.worker().address());
+        if (w != null && world.net.faultToWorker(hall, w, false) == CallFault.NONE) {
+            out.transfer(
+                    WireBytes.OVERHEAD_BYTES,
+                    () -> !future.isDone(),
+                    () -> world.net.deliver(
+                            world.net.latency(), () -> arrive(w, effective(o), effective(fence), future)));
         }
-        world.time.after(o.waitMillis() + CALL_MILLIS, () -> f.complete(new HoldResult(OrderOutcome.UNKNOWN, null)));
-        return f;
+        world.time.schedule(
+                o.waitMillis() + CALL_TIMEOUT_MILLIS,
+                () -> future.complete(new HoldResult(OrderOutcome.UNKNOWN, null)));
+        return future;
     }
 
-    private void arrive(SimWorker w, HoldOrder o, long fence, CompletableFuture<HoldResult> f) {
+    private void arrive(SimWorker w, HoldOrder o, long fence, CompletableFuture<HoldResult> future) {
         if (!w.isUp()) {
             return;
         }
         if (!w.id().equals(o.worker().id())) {
-            reply(w, f, new HoldResult(OrderOutcome.OTHER_LIFE, null));
+            reply(w, future, new HoldResult(OrderOutcome.OTHER_LIFE, null));
             return;
         }
         w.hold(
                 o,
                 fence,
-                a -> reply(w, f, new HoldResult(OrderOutcome.ACCEPTED, a)),
-                () -> reply(w, f, new HoldResult(OrderOutcome.FENCED, null)));
+                a -> reply(w, future, new HoldResult(OrderOutcome.ACCEPTED, a)),
+                () -> reply(w, future, new HoldResult(OrderOutcome.FENCED, null)));
     }
 
-    private void reply(SimWorker w, CompletableFuture<HoldResult> f, HoldResult r) {
-        if (world.net.toWorker(hall, w, false) == Trouble.NONE) {
+    private void reply(SimWorker w, CompletableFuture<HoldResult> future, HoldResult r) {
+        if (world.net.faultToWorker(hall, w, false) == CallFault.NONE) {
             world.net.deliver(
-                    world.net.latency(), () -> in.carry(WireBytes.of(r), () -> !f.isDone(), () -> f.complete(r)));
+                    world.net.latency(),
+                    () -> in.transfer(WireBytes.of(r), () -> !future.isDone(), () -> future.complete(r)));
         }
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
@@ -78,12 +78,12 @@
 
     void plan(long from, long millis) {
         for (int i = 0; i < CHANGES; i++) {
-            world.time.after(from + random.nextInt((int) millis), this::change);
+            world.time.schedule(from + random.nextInt((int) millis), this::change);
         }
-        world.time.after(from + random.nextInt((int) millis), this::burst);
-        world.time.after(from + millis, () -> {
+        world.time.schedule(from + random.nextInt((int) millis), this::burst);
+        world.time.schedule(from + millis, () -> {
             states.forEach(t -> t.cpu = t.initialCpu);
-            world.configure();
+            world.writeConfiguration();
         });
     }
 
@@ -99,7 +99,7 @@
             default -> t.hasKey = !t.hasKey;
         }
         world.history.add(t.name + " cpu " + t.cpu + " key " + t.key + (t.hasKey ? "" : " revoked"));
-        world.configure();
+        world.writeConfiguration();
     }
 
     private void burst() {
@@ -145,7 +145,7 @@
 
     /** Assigns long-running tasks to an unlimited workspace, since they would hold a quota indefinitely. */
     private WorkspaceState workspaceOf(int caller) {
-        return states.get(world.isLasting(caller) ? COUNT : caller % COUNT);
+        return states.get(world.isLongRunning(caller) ? COUNT : caller % COUNT);
     }
 
     /** Returns whether the workspace, which may be none, has a quota. */
--- a/model/src/main/java/org/lupinpaddle/model/Site.java
+++ b/model/src/main/java/org/lupinpaddle/model/Site.java
@@ -67,7 +67,7 @@
     }
 
     /** Returns a site of 306 instances in six halls, with entries of two kinds: 0.75 fast cores at 200 Mbit/s, 0.36 at 20. */
-    static Site hundreds(int textBytes) {
+    static Site withTwoEntryKinds(int textBytes) {
         return new Site(
                 List.of("news", "archive", "promo", "partner"),
                 List.of("north", "south", "west", "east", "harbour", "airport"),
--- a/model/src/main/java/org/lupinpaddle/model/VirtualLoop.java
+++ b/model/src/main/java/org/lupinpaddle/model/VirtualLoop.java
@@ -24,7 +24,7 @@
 final class VirtualLoop implements EventLoop {
 
     private final VirtualTime time;
-    private final Deque<Runnable> waiting = new ArrayDeque<>();
+    private final Deque<Runnable> deferred = new ArrayDeque<>();
     private boolean frozen;
     private boolean dead;
 
@@ -39,13 +39,13 @@
 
     @Override
     public void execute(Runnable step) {
-        time.after(0, () -> run(step));
+        time.schedule(0, () -> run(step));
     }
 
     @Override
     public Timer after(long millis, Runnable step) {
         boolean[] cancelled = new boolean[1];
-        time.after(
+        time.schedule(
                 millis,
                 () -> run(() -> {
                     if (!cancelled[0]) {
@@ -76,7 +76,7 @@
             return;
         }
         if (frozen) {
-            waiting.add(step);
+            deferred.add(step);
         } else {
             step.run();
         }
@@ -96,8 +96,8 @@
 
     void thaw() {
         frozen = false;
-        while (!waiting.isEmpty() && !frozen && !dead) {
-            waiting.poll().run();
+        while (!deferred.isEmpty() && !frozen && !dead) {
+            deferred.poll().run();
         }
     }
 
--- a/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
+++ b/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
@@ -20,14 +20,15 @@
 /** Time that passes only when nothing is left to be done: steps run in the order of their moments. */
 final class VirtualTime {
 
-    private final PriorityQueue<Step> steps = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
     private long now;
     private long sequence;
 
-    private record Step(long at, long sequence, Runnable what) implements Comparable<Step> {
+    private record ScheduledAction(long atMillis, long sequence, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Step o) {
-            int c = Long.compare(at, o.at);
+        public int compareTo(ScheduledAction o) {
+            int c = Long.compare(atMillis, o.atMillis);
             return c != 0 ? c : Long.compare(sequence, o.sequence);
         }
     }
@@ -37,16 +38,16 @@
     }
 
     /** Runs a step so many milliseconds from now. */
-    void after(long millis, Runnable what) {
-        steps.add(new Step(now + Math.max(0, millis), sequence++, what));
+    void schedule(long millis, Runnable action) {
+        queue.add(new ScheduledAction(now + Math.max(0, millis), sequence++, action));
     }
 
     /** Lets time pass up to a moment. */
     void runUntil(long end) {
-        while (!steps.isEmpty() && steps.peek().at <= end) {
-            Step s = steps.poll();
-            now = s.at;
-            s.what.run();
+        while (!queue.isEmpty() && queue.peek().atMillis <= end) {
+            ScheduledAction next = queue.poll();
+            now = next.atMillis;
+            next.action.run();
         }
         now = end;
     }
--- a/model/src/main/java/org/lupinpaddle/model/WireBytes.java
+++ b/model/src/main/java/org/lupinpaddle/model/WireBytes.java
@@ -29,39 +29,41 @@
 final class WireBytes {
 
     /** What a call or an answer has besides its items: the lines of HTTP and of the channel below. */
-    static final long FRAME = 250;
+    static final long OVERHEAD_BYTES = 250;
 
     // An item's member names, two revisions and its lease.
-    private static final long ITEM = 75;
+    private static final long ITEM_BYTES = 75;
     // An instance with its room and its labels.
-    private static final long INSTANCE = 220;
+    private static final long INSTANCE_BYTES = 220;
     // A run as an order or an answer names it.
-    private static final long RUN = 45;
-    private static final long BASE64_FROM = 3;
-    private static final long BASE64_TO = 4;
+    private static final long RUN_BYTES = 45;
+    private static final long BASE64_GROUP_BYTES = 3;
+    private static final long BASE64_GROUP_CHARS = 4;
 
     private WireBytes() {}
 
     static long of(StoreItem i) {
-        return row(i.key(), i.value());
+        return itemBytes(i.key(), i.value());
     }
 
     static long of(Collection<StoreItem> items) {
-        return FRAME + items.stream().mapToLong(WireBytes::of).sum();
+        return OVERHEAD_BYTES + items.stream().mapToLong(WireBytes::of).sum();
     }
 
     static long of(StoreChanges c) {
-        return FRAME
+        return OVERHEAD_BYTES
                 + c.changes().stream()
-                        .mapToLong(e -> e.item() == null ? row(e.key(), "") : of(e.item()))
+                        .mapToLong(e -> e.item() == null ? itemBytes(e.key(), "") : of(e.item()))
                         .sum();
     }
 
     static long of(StoreCommit c) {
-        return FRAME
-                + c.conditions().stream().mapToLong(w -> row(w.key(), "")).sum()
-                + c.puts().stream().mapToLong(p -> row(p.key(), p.value())).sum()
-                + c.removals().stream().mapToLong(k -> row(k, "")).sum();
+        return OVERHEAD_BYTES
+                + c.conditions().stream().mapToLong(w -> itemBytes(w.key(), "")).sum()
+                + c.puts().stream()
+                        .mapToLong(p -> itemBytes(p.key(), p.value()))
+                        .sum()
+                + c.removals().stream().mapToLong(k -> itemBytes(k, "")).sum();
     }
 
     static long of(CommitResult r) {
@@ -69,19 +71,22 @@
     }
 
     static long ofInstances(Collection<PlatformInstance> all) {
-        return FRAME + INSTANCE * all.size();
+        return OVERHEAD_BYTES + INSTANCE_BYTES * all.size();
     }
 
     static long of(StartOrder o) {
-        return FRAME + RUN + o.text().length();
+        return OVERHEAD_BYTES + RUN_BYTES + o.text().length();
     }
 
     static long of(HoldResult r) {
         HoldAnswer a = r.answer();
-        return FRAME + (a == null ? 0 : RUN * (a.running().size() + a.ended().size()));
+        return OVERHEAD_BYTES
+                + (a == null ? 0 : RUN_BYTES * (a.running().size() + a.ended().size()));
     }
 
-    private static long row(String key, String value) {
-        return ITEM + key.length() + (value.length() + BASE64_FROM - 1) / BASE64_FROM * BASE64_TO;
+    private static long itemBytes(String key, String value) {
+        return ITEM_BYTES
+                + key.length()
+                + (value.length() + BASE64_GROUP_BYTES - 1) / BASE64_GROUP_BYTES * BASE64_GROUP_CHARS;
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/WorkBound.java
+++ b/model/src/main/java/org/lupinpaddle/model/WorkBound.java
@@ -35,11 +35,11 @@
      * @param mostCpu how many thousandths of a core its tasks take together
      * @param cpuMillis how much it is, in thousandths of a core x milliseconds
      */
-    record Work(long fromMillis, long untilMillis, long mostCpu, long cpuMillis) {
+    record Work(long earliestStartMillis, long deadlineMillis, long maxCpu, long cpuMillis) {
 
         /** Returns how much of it can be done between two moments. */
-        long between(long begin, long end) {
-            return mostCpu * Math.max(0, Math.min(end, untilMillis) - Math.max(begin, fromMillis));
+        long maxCpuMillisBetween(long begin, long end) {
+            return maxCpu * Math.max(0, Math.min(end, deadlineMillis) - Math.max(begin, earliestStartMillis));
         }
     }
 
@@ -50,24 +50,24 @@
     }
 
     /** Returns how much of the work can be done in time at most, in thousandths of a core x milliseconds. */
-    long most(List<Work> all) {
+    long maxCpuMillis(List<Work> items) {
         int slots = cpuBySlot.length;
-        int sink = all.size() + slots + 1;
+        int sink = items.size() + slots + 1;
         MaxFlow flow = new MaxFlow(sink + 1);
-        for (int w = 0; w < all.size(); w++) {
-            flow.connect(0, 1 + w, all.get(w).cpuMillis());
-            connectSlots(flow, 1 + w, all.get(w), 1 + all.size());
+        for (int w = 0; w < items.size(); w++) {
+            flow.addEdge(0, 1 + w, items.get(w).cpuMillis());
+            addSlotEdges(flow, 1 + w, items.get(w), 1 + items.size());
         }
         for (int s = 0; s < slots; s++) {
-            flow.connect(1 + all.size() + s, sink, cpuBySlot[s] * slotMillis);
+            flow.addEdge(1 + items.size() + s, sink, cpuBySlot[s] * slotMillis);
         }
-        return flow.most(0, sink);
+        return flow.maxFlow(0, sink);
     }
 
-    private void connectSlots(MaxFlow flow, int node, Work w, int firstSlot) {
-        long first = Math.max(0, w.fromMillis() / slotMillis);
-        for (long s = first; s < cpuBySlot.length && s * slotMillis < w.untilMillis(); s++) {
-            flow.connect(node, firstSlot + (int) s, w.between(s * slotMillis, (s + 1) * slotMillis));
+    private void addSlotEdges(MaxFlow flow, int node, Work w, int firstSlot) {
+        long first = Math.max(0, w.earliestStartMillis() / slotMillis);
+        for (long s = first; s < cpuBySlot.length && s * slotMillis < w.deadlineMillis(); s++) {
+            flow.addEdge(node, firstSlot + (int) s, w.maxCpuMillisBetween(s * slotMillis, (s + 1) * slotMillis));
         }
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/World.java
+++ b/model/src/main/java/org/lupinpaddle/model/World.java
@@ -43,7 +43,7 @@
     static final long LEASE_MILLIS = 3_000;
     static final long UPKEEP_MILLIS = 2_000;
     static final long MOVE_MILLIS = 1_500;
-    static final String HEADROOM = "spare";
+    static final String SPARE_POOL = "spare";
     static final String CONFIGURATION = "model/configuration";
     static final String WORKERS = "model/worker/";
     static final String WAVES = "model/wave/";
@@ -52,37 +52,37 @@
 
     private static final int JOBS = 16;
     private static final int MAX_ATTEMPTS = 3;
-    private static final long TRAFFIC_FROM = 5_000;
+    private static final long TRAFFIC_START = 5_000;
     private static final long TRAFFIC_MILLIS = 20_000;
-    private static final long CALM_MILLIS = 40_000;
+    private static final long SETTLE_MILLIS = 40_000;
     private static final long WAVE_AT = 7_000;
-    private static final int MOST_OF_WAVE = 2;
-    private static final long LASTING_AWAY_MILLIS = 6_000;
+    private static final int MAX_WAVE_INSTANCES_DOWN = 2;
+    private static final long MAX_NOT_SERVING_MILLIS = 6_000;
 
     final VirtualTime time = new VirtualTime();
     final Sabotage sabotage;
     final Site site;
     final Random random;
-    final Net net;
+    final Network net;
     final SimStore store;
     final Rules rules;
     final SimFleet fleet;
     final List<SimEntry> entries = new ArrayList<>();
     private final FaultPlan faults;
     final History history = new History(time);
-    private long version;
-    private @Nullable CrashingTasks crashing;
-    private @Nullable Restarts restarts;
+    private long configurationVersion;
+    private @Nullable CrashingTasks crashingTasks;
+    private @Nullable WorkerRestarts restarts;
     private @Nullable SimWorkspaces workspaces;
 
     /** Makes the world of a seed, with at most so many faults. */
-    public World(long seed, int mostFaults) {
-        this(seed, mostFaults, Sabotage.NONE);
+    public World(long seed, int maxFaults) {
+        this(seed, maxFaults, Sabotage.NONE);
     }
 
     /** Makes the world of a seed, without one of the entries' mechanisms. */
-    World(long seed, int mostFaults, Sabotage sabotage) {
-        this(seed, mostFaults, sabotage, Site.SMALL);
+    World(long seed, int maxFaults, Sabotage sabotage) {
+        this(seed, maxFaults, sabotage, Site.SMALL);
     }
 
     /** Makes the world of a seed and a site, without faults of its own. */
@@ -90,36 +90,36 @@
         this(seed, 0, Sabotage.NONE, site);
     }
 
-    private World(long seed, int mostFaults, Sabotage sabotage, Site site) {
+    private World(long seed, int maxFaults, Sabotage sabotage, Site site) {
         this.sabotage = sabotage;
         this.site = site;
         random = new Random(seed);
-        net = new Net(time, random);
+        net = new Network(time, random);
         store = new SimStore(time);
         rules = new Rules(time);
-        fleet = new SimFleet(time, store, rules, random, site.room(), this::crashing, this::keepsId);
-        faults = new FaultPlan(this, history, mostFaults);
+        fleet = new SimFleet(time, store, rules, random, site.room(), this::crashingTasks, this::keepsId);
+        faults = new FaultPlan(this, history, maxFaults);
     }
 
     /** Lets another writer put entries that can not be read, from the beginning until the calm at the end. */
-    World withOtherWriter(long seed) {
-        new OtherWriter(this, seed, TRAFFIC_FROM + TRAFFIC_MILLIS).start();
+    World withCorruptRecords(long seed) {
+        new CorruptRecordWriter(this, seed, TRAFFIC_START + TRAFFIC_MILLIS).start();
         return this;
     }
 
     /** Lets callers hand in jobs with tasks that crash each worker that starts them, beside the others. */
     World withCrashingTasks(long seed) {
         CrashingTasks tasks = new CrashingTasks(this, seed);
-        crashing = tasks;
-        tasks.plan(TRAFFIC_FROM, TRAFFIC_MILLIS);
+        crashingTasks = tasks;
+        tasks.plan(TRAFFIC_START, TRAFFIC_MILLIS);
         return this;
     }
 
     /** Lets workers crash and start again under their ids, beside the other faults. */
     World withRestarts(long seed) {
-        Restarts r = new Restarts(this, seed);
+        WorkerRestarts r = new WorkerRestarts(this, seed);
         restarts = r;
-        r.plan(TRAFFIC_FROM, TRAFFIC_MILLIS);
+        r.plan(TRAFFIC_START, TRAFFIC_MILLIS);
         return this;
     }
 
@@ -128,7 +128,7 @@
         SimWorkspaces w = new SimWorkspaces(this, seed);
         workspaces = w;
         rules.checkQuotasOf(w);
-        w.plan(TRAFFIC_FROM, TRAFFIC_MILLIS);
+        w.plan(TRAFFIC_START, TRAFFIC_MILLIS);
         return this;
     }
 
@@ -140,9 +140,9 @@
     /** Returns how many jobs are said to have failed that could have been completed and crash no worker themselves. */
     int completableJobsGivenUp() {
         int n = 0;
-        for (Rules.JobTruth j : rules.jobs()) {
-            boolean guilty = crashing != null && crashing.isGuilty(j.id);
-            if (j.saidToHaveFailed && !j.hopeless && !guilty && !j.hasUsedUpAttempts()) {
+        for (Rules.TrackedJob job : rules.jobs()) {
+            boolean crashing = crashingTasks != null && crashingTasks.hasCrashingTasks(job.id);
+            if (job.reportedFailed && !job.alwaysFails && !crashing && !job.hasUsedUpAttempts()) {
                 n++;
             }
         }
@@ -151,7 +151,7 @@
 
     /** Returns how many workers were lost to tasks that crash them. */
     int workersLostToTasks() {
-        return crashing == null ? 0 : crashing.workersLost();
+        return crashingTasks == null ? 0 : crashingTasks.workersLost();
     }
 
     private boolean keepsId() {
@@ -159,28 +159,28 @@
     }
 
     /** Returns the tasks that crash their workers, if there are any in this history. */
-    Optional<CrashingTasks> crashing() {
-        return Optional.ofNullable(crashing);
+    Optional<CrashingTasks> crashingTasks() {
+        return Optional.ofNullable(crashingTasks);
     }
 
-    /** Lets a history happen; throws a {@link RuleBrokenException} at the first rule that is broken. */
+    /** Lets a history happen; throws a {@link RuleViolationException} at the first rule that is broken. */
     public void run() {
-        build();
-        time.runUntil(TRAFFIC_FROM + TRAFFIC_MILLIS + CALM_MILLIS);
-        checkEnd();
+        setUpScenario();
+        time.runUntil(TRAFFIC_START + TRAFFIC_MILLIS + SETTLE_MILLIS);
+        checkFinalState();
     }
 
     /** Lets only the first part of a history happen, up to a moment, and checks nothing at its end. */
-    void begin(long untilMillis) {
-        build();
+    void runUntil(long untilMillis) {
+        setUpScenario();
         time.runUntil(untilMillis);
     }
 
     /** Lets demand come by turns, all entries lose power after so long of it, and holds what follows to the rule. */
-    void recover(long powerLossAfterMillis) {
-        populate();
-        Recovery r = new Recovery(this, TRAFFIC_FROM + powerLossAfterMillis);
-        new Turns(this).plan(TRAFFIC_FROM, r.end());
+    void runPowerLoss(long powerLossAfterMillis) {
+        createSite();
+        PowerLossRecovery r = new PowerLossRecovery(this, TRAFFIC_START + powerLossAfterMillis);
+        new RotatingLoad(this).plan(TRAFFIC_START, r.end());
         r.plan();
         time.runUntil(r.end());
         r.check();
@@ -206,38 +206,38 @@
         return history.lines();
     }
 
-    private void build() {
-        populate();
+    private void setUpScenario() {
+        createSite();
         for (int i = 0; i < JOBS; i++) {
-            long at = TRAFFIC_FROM + random.nextInt((int) TRAFFIC_MILLIS);
+            long at = TRAFFIC_START + random.nextInt((int) TRAFFIC_MILLIS);
             SimCaller caller = new SimCaller(this, history, i);
-            time.after(at, caller::submit);
+            time.schedule(at, caller::submit);
         }
-        time.after(WAVE_AT, this::askWave);
-        faults.plan(TRAFFIC_FROM, TRAFFIC_MILLIS);
+        time.schedule(WAVE_AT, this::requestWave);
+        faults.plan(TRAFFIC_START, TRAFFIC_MILLIS);
     }
 
-    private void populate() {
-        configure();
+    private void createSite() {
+        writeConfiguration();
         List<String> halls = site.halls();
         for (int i = 0; i < site.workers() + site.spares(); i++) {
             String hall = halls.get(i % halls.size());
-            String pool = i < site.workers() ? service(i) : HEADROOM;
+            String pool = i < site.workers() ? service(i) : SPARE_POOL;
             fleet.add(hall, "rack-" + hall + "-" + i % site.racks(), pool);
         }
-        fleet.startLagging();
+        fleet.startListUpdates();
         for (EntryKind kind : site.entryKinds()) {
             for (int i = 0; i < kind.count(); i++) {
                 int n = entries.size();
                 entries.add(new SimEntry(this, "entry-" + n, halls.get(n % halls.size()), kind));
             }
         }
-        entries.forEach(e -> time.after(random.nextInt(300), e::start));
+        entries.forEach(e -> time.schedule(random.nextInt(300), e::start));
     }
 
     /** Writes a configuration: the queues and services are the same, its version is new. */
-    void configure() {
-        version++;
+    void writeConfiguration() {
+        configurationVersion++;
         List<QueueConfig> queues = new ArrayList<>();
         for (String s : site.services()) {
             Policy policy = new Policy(queues.size(), MAX_ATTEMPTS, 1.5, 500, false);
@@ -245,27 +245,28 @@
         }
         List<ServiceConfig> services = new ArrayList<>();
         site.services().forEach(s -> services.add(new ServiceConfig(s, false, true)));
-        services.add(new ServiceConfig(HEADROOM, true, true));
+        services.add(new ServiceConfig(SPARE_POOL, true, true));
         Workspaces configured = workspaces().map(SimWorkspaces::configured).orElse(Workspaces.NONE);
         store.set(
-                CONFIGURATION, RecordCodec.write(new JobConfiguration(version, queues, services, 1 << 18, configured)));
+                CONFIGURATION,
+                RecordCodec.write(new JobConfiguration(configurationVersion, queues, services, 1 << 18, configured)));
     }
 
-    private void askWave() {
-        List<String> some =
-                fleet.machineIds().stream().filter(m -> random.nextInt(3) == 0).toList();
-        if (!some.isEmpty()) {
-            history.add("wave of " + some);
-            fleet.ask(new UpkeepWave(1, some, 20_000, MOST_OF_WAVE));
+    private void requestWave() {
+        List<String> instances =
+                fleet.instanceIds().stream().filter(m -> random.nextInt(3) == 0).toList();
+        if (!instances.isEmpty()) {
+            history.add("wave of " + instances);
+            fleet.requestWave(new UpkeepWave(1, instances, 20_000, MAX_WAVE_INSTANCES_DOWN));
         }
     }
 
     /** Returns a job to be handed in; its text says what it is. */
     Submission submission(int number) {
-        boolean lasting = isLasting(number);
+        boolean longRunning = isLongRunning(number);
         StepSpec.Need need = new StepSpec.Need(500 + random.nextInt(2_000), 200, 0);
         List<StepSpec> steps = new ArrayList<>();
-        if (lasting) {
+        if (longRunning) {
             steps.add(StepSpec.builder(3, need)
                     .longRunning(true, 1)
                     .perWorkerMost(1 + random.nextInt(2))
@@ -281,12 +282,12 @@
                         .build());
             }
         }
-        boolean hopeless = !lasting && random.nextInt(12) == 0;
-        return new Submission((hopeless ? "hopeless " : "job ") + number, steps, Repeat.ONCE);
+        boolean alwaysFails = !longRunning && random.nextInt(12) == 0;
+        return new Submission((alwaysFails ? "hopeless " : "job ") + number, steps, Repeat.ONCE);
     }
 
     /** Returns whether the tasks of a caller's job are long-running. */
-    boolean isLasting(int caller) {
+    boolean isLongRunning(int caller) {
         return caller < JOBS && caller % 6 == 0;
     }
 
@@ -303,91 +304,94 @@
         return MAX_ATTEMPTS;
     }
 
-    static boolean isHopeless(Rules rules, String jobId) {
-        Rules.JobTruth j = rules.job(jobId);
-        return j != null && j.hopeless;
+    static boolean alwaysFails(Rules rules, String jobId) {
+        Rules.TrackedJob job = rules.job(jobId);
+        return job != null && job.alwaysFails;
     }
 
-    static @Nullable StepSpec step(Rules rules, String jobId, TaskId t) {
-        Rules.JobTruth j = rules.job(jobId);
-        return j == null ? null : j.step(t);
+    static @Nullable StepSpec step(Rules rules, String jobId, TaskId task) {
+        Rules.TrackedJob job = rules.job(jobId);
+        return job == null ? null : job.step(task);
     }
 
     /** Returns how long a task takes on a sound worker: between 300 and 2,300 ms, the same each time. */
-    static long trueMillis(Rules rules, String jobId, TaskId t) {
-        return 300 + Math.floorMod((jobId + t).hashCode(), 2_000);
+    static long taskMillis(Rules rules, String jobId, TaskId task) {
+        return 300 + Math.floorMod((jobId + task).hashCode(), 2_000);
     }
 
-    private void checkEnd() {
-        for (Rules.JobTruth j : rules.jobs()) {
-            if (!j.accepted || j.cancelSent || j.hopeless || mayBeGivenUp(j)) {
+    private void checkFinalState() {
+        for (Rules.TrackedJob job : rules.jobs()) {
+            if (!job.accepted || job.cancelSent || job.alwaysFails || mayBeGivenUp(job)) {
                 continue;
             }
-            if (j.lasting()) {
-                checkLasting(j);
+            if (job.isLongRunning()) {
+                checkLongRunning(job);
             } else {
                 rules.require(
                         Rules.Rule.LOST,
-                        j.allDone() || isHeldUpByQuota(j),
-                        j.id + " was accepted and is not done: " + unfinished(j));
+                        job.allDone() || isBlockedByQuota(job),
+                        job.id + " was accepted and is not done: " + unfinished(job));
             }
         }
-        boolean asked = store.read(WAVES + 1).isPresent();
-        if (asked) {
-            boolean told = store.read(WAVE_STATUS + 1)
+        boolean requested = store.read(WAVES + 1).isPresent();
+        if (requested) {
+            boolean reportedDone = store.read(WAVE_STATUS + 1)
                     .filter(i -> i.value().equals(COMPLETED))
                     .isPresent();
-            List<String> left = fleet.notMaintained(1);
+            List<String> remaining = fleet.notMaintained(1);
             rules.require(
                     Rules.Rule.WAVE,
-                    left.stream().filter(this::isHeldUp).count() >= Math.min(MOST_OF_WAVE, left.size()),
-                    "the wave has not been done, and what is held up leaves places for " + left);
-            rules.require(Rules.Rule.WAVE, told || !left.isEmpty(), "the wave is done and not said to be");
+                    remaining.stream().filter(this::isBlockedByCrashedTask).count()
+                            >= Math.min(MAX_WAVE_INSTANCES_DOWN, remaining.size()),
+                    "the wave has not been done, and what is held up leaves places for " + remaining);
+            rules.require(Rules.Rule.WAVE, reportedDone || !remaining.isEmpty(), "the wave is done and not said to be");
         }
     }
 
     /** What is given up after two workers have crashed under one of its tasks need not be done. */
-    private boolean mayBeGivenUp(Rules.JobTruth j) {
-        boolean guilty = crashing != null && crashing.isGuilty(j.id);
-        return guilty || (j.saidToHaveFailed && j.maxCrashedUnder() >= Rules.CRASHES_THAT_ALLOW_TO_GIVE_UP);
+    private boolean mayBeGivenUp(Rules.TrackedJob job) {
+        boolean crashing = crashingTasks != null && crashingTasks.hasCrashingTasks(job.id);
+        return crashing || (job.reportedFailed && job.maxWorkerCrashes() >= Rules.MIN_CRASHES_TO_GIVE_UP);
     }
 
     /** Returns whether long-running tasks leave too little of the job's quota for the next of its tasks. */
-    private boolean isHeldUpByQuota(Rules.JobTruth job) {
+    private boolean isBlockedByQuota(Rules.TrackedJob job) {
         if (workspaces == null || !workspaces.limits(job.workspace)) {
             return false;
         }
-        long held = rules.runningCpu(job.workspace, Rules.JobTruth::lasting);
-        return held + job.nextStep().need().cpuMillis() > workspaces.configuredCpu(job.workspace);
+        long longRunningCpu = rules.runningCpu(job.workspace, Rules.TrackedJob::isLongRunning);
+        return longRunningCpu + job.nextStep().need().cpuMillis() > workspaces.configuredCpu(job.workspace);
     }
 
     /**
      * Returns whether the instance runs a task of a step that misses as many others for good as its caller allows: they crash
      * their workers, and to take away one more would break AVAIL.
      */
-    private boolean isHeldUp(String instance) {
+    private boolean isBlockedByCrashedTask(String instance) {
         return fleet.tasksOn(instance).stream().anyMatch(r -> {
-            Rules.JobTruth job = rules.job(r.jobId());
-            return job != null && job.lasting() && job.maxCrashedUnder() >= Rules.CRASHES_THAT_ALLOW_TO_GIVE_UP;
+            Rules.TrackedJob job = rules.job(r.jobId());
+            return job != null && job.isLongRunning() && job.maxWorkerCrashes() >= Rules.MIN_CRASHES_TO_GIVE_UP;
         });
     }
 
-    private void checkLasting(Rules.JobTruth j) {
-        for (int i = 0; i < j.submission.steps().get(0).count(); i++) {
-            Rules.TaskTruth t = j.task(new TaskId(0, 0, i));
-            boolean givenUp = t.crashedUnder >= Rules.CRASHES_THAT_ALLOW_TO_GIVE_UP;
-            boolean fine = givenUp || t.atWork || (t.runsOn != null && time.now() - t.awaySince < LASTING_AWAY_MILLIS);
-            rules.require(Rules.Rule.LOST, fine, j.id + " task " + i + " lasts and is not at work");
+    private void checkLongRunning(Rules.TrackedJob job) {
+        for (int i = 0; i < job.submission.steps().get(0).count(); i++) {
+            Rules.TrackedTask task = job.task(new TaskId(0, 0, i));
+            boolean givenUp = task.workerCrashes >= Rules.MIN_CRASHES_TO_GIVE_UP;
+            boolean satisfied = givenUp
+                    || task.serving
+                    || (task.runsOn != null && time.now() - task.notServingSince < MAX_NOT_SERVING_MILLIS);
+            rules.require(Rules.Rule.LOST, satisfied, job.id + " task " + i + " lasts and is not at work");
         }
     }
 
-    private static String unfinished(Rules.JobTruth j) {
-        List<String> left = new ArrayList<>();
-        j.tasks.forEach((id, t) -> {
-            if (!t.done) {
-                left.add(id + (t.runsOn == null ? "" : " on " + t.runsOn.id()));
+    private static String unfinished(Rules.TrackedJob job) {
+        List<String> remaining = new ArrayList<>();
+        job.tasks.forEach((id, task) -> {
+            if (!task.done) {
+                remaining.add(id + (task.runsOn == null ? "" : " on " + task.runsOn.id()));
             }
         });
-        return left.toString();
+        return remaining.toString();
     }
 }
--- a/model/src/test/java/org/lupinpaddle/model/CrashingTasksTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/CrashingTasksTest.java
@@ -29,11 +29,11 @@
  */
 class CrashingTasksTest {
 
-    private static void holds(long seed, int faults) {
+    private static void assertRulesHold(long seed, int faults) {
         World w = new World(seed, faults).withCrashingTasks(seed);
         try {
             w.run();
-        } catch (RuleBrokenException e) {
+        } catch (RuleViolationException e) {
             fail("seed " + seed + " with up to " + faults + " faults: " + e.getMessage() + "\n"
                     + String.join("\n", w.history()));
         }
@@ -41,26 +41,26 @@
 
     /** Each broke a rule once; docs/FINDINGS.md has the causes. */
     @Nested
-    class SeedsThatFailed {
+    class RegressionSeeds {
 
         @ParameterizedTest
         @ValueSource(longs = {1143, 1303, 9100544, 9101807})
-        void holdNow(long seed) {
-            holds(seed, 10);
+        void satisfyRules(long seed) {
+            assertRulesHold(seed, 10);
         }
     }
 
     @Nested
-    class Histories {
+    class SeededHistories {
 
         @Test
-        void withoutOtherFaultsKeepEveryRule() {
-            LongStream.range(0, 60).parallel().forEach(s -> holds(s, 0));
+        void satisfyRulesWithoutOtherFaults() {
+            LongStream.range(0, 60).parallel().forEach(seed -> assertRulesHold(seed, 0));
         }
 
         @Test
-        void withOtherFaultsKeepEveryRule() {
-            LongStream.range(0, 200).parallel().forEach(s -> holds(s, 6));
+        void satisfyRulesUnderOtherFaults() {
+            LongStream.range(0, 200).parallel().forEach(seed -> assertRulesHold(seed, 6));
         }
     }
 }
--- a/model/src/test/java/org/lupinpaddle/model/AtSizeTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/LargeSiteTest.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Worlds as large as the largest that the product is made for. */
-class AtSizeTest {
+class LargeSiteTest {
 
     // Callers choose their text. With this one, the records of 500 jobs are a page of 0.95 MB: one may have 1 MB.
     private static final int TEXT_BYTES = 300;
@@ -36,44 +36,44 @@
 
     /** All entries lose power in the middle of the demand; 15 s after they are back, service is to be back. */
     @Nested
-    class ALossOfAllPower {
+    class PowerLoss {
 
         // 7 and 140 Mbit/s: the thinnest and the best link that an entry may have.
-        private static final long THIN = 875;
-        private static final long AMPLE = 17_500;
+        private static final long MIN_BYTES_PER_MILLI = 875;
+        private static final long MAX_BYTES_PER_MILLI = 17_500;
 
         @Test
-        void isRecoveredFromOverThinLinks() {
-            recovers(Site.large(TEXT_BYTES, THIN));
+        void recoversAtMinimumBandwidth() {
+            assertRecovers(Site.large(TEXT_BYTES, MIN_BYTES_PER_MILLI));
         }
 
         @Test
-        void isRecoveredFromOverAmpleLinks() {
-            recovers(Site.large(TEXT_BYTES, AMPLE));
+        void recoversAtMaximumBandwidth() {
+            assertRecovers(Site.large(TEXT_BYTES, MAX_BYTES_PER_MILLI));
         }
 
         @Test
-        void isRecoveredFromByEntriesOfTwoKindsThatCarryHundredsOfInstances() {
-            recovers(Site.hundreds(TEXT_BYTES));
+        void recoversWithTwoKindsOfEntries() {
+            assertRecovers(Site.withTwoEntryKinds(TEXT_BYTES));
         }
 
         /** An owner's first holds go out together, and their answers carry all that its workers run. */
         @Test
-        void isRecoveredFromByAnOwnerOf250WorkersOverAThinLink() {
-            recovers(Site.oneLargeService(TEXT_BYTES, THIN));
+        void recoversWith250WorkersPerOwnerAtMinimumBandwidth() {
+            assertRecovers(Site.oneLargeService(TEXT_BYTES, MIN_BYTES_PER_MILLI));
         }
 
-        private static void recovers(Site site) {
+        private static void assertRecovers(Site site) {
             World w = new World(1, site);
             try {
-                w.recover(POWER_LOSS_AFTER_MILLIS);
-            } catch (RuleBrokenException e) {
-                fail(e.getMessage() + "\n" + String.join("\n", told(w.history())));
+                w.runPowerLoss(POWER_LOSS_AFTER_MILLIS);
+            } catch (RuleViolationException e) {
+                fail(e.getMessage() + "\n" + String.join("\n", relevantLines(w.history())));
             }
         }
 
         /** Thousands of jobs are handed in: what became of each says little, nor does each move of an instance. */
-        private static List<String> told(List<String> history) {
+        private static List<String> relevantLines(List<String> history) {
             return history.stream()
                     .filter(l -> !l.contains("submit ") && !l.contains("told ") && !l.contains("order "))
                     .toList();
@@ -82,31 +82,31 @@
 
     /** The store is away for longer than all leases last: every duty is free at the moment of its return. */
     @Nested
-    class AStoreThatComesBack {
+    class StoreOutage {
 
-        private static final long AWAY_FROM = 9_000;
-        private static final long AWAY_MILLIS = 3_600;
+        private static final long OUTAGE_START = 9_000;
+        private static final long OUTAGE_MILLIS = 3_600;
         // Not all entries find at the same moment that it is back.
-        private static final int SPREAD_MILLIS = 400;
-        private static final long LOOK_MILLIS = 10;
-        private static final long WATCHED_MILLIS = 6_000;
+        private static final int RECONNECT_SPREAD_MILLIS = 400;
+        private static final long POLL_MILLIS = 10;
+        private static final long OBSERVATION_MILLIS = 6_000;
 
         /** Each owner reads all that its predecessors left, asks every worker, and starts nothing meanwhile. */
         @Test
-        void findsOwnersThatStay() {
+        void isFollowedByStableOwnership() {
             for (long seed = 1; seed <= 3; seed++) {
-                World w = new World(seed, Site.hundreds(0));
-                w.begin(AWAY_FROM);
-                w.net.store = Trouble.REFUSED;
-                w.time.runUntil(AWAY_FROM + AWAY_MILLIS);
-                w.net.store = Trouble.NONE;
+                World w = new World(seed, Site.withTwoEntryKinds(0));
+                w.runUntil(OUTAGE_START);
+                w.net.storeFault = CallFault.REFUSED;
+                w.time.runUntil(OUTAGE_START + OUTAGE_MILLIS);
+                w.net.storeFault = CallFault.NONE;
                 w.entries.forEach(e -> {
-                    w.net.storeTrouble.put(e.name, Trouble.REFUSED);
-                    w.time.after(w.random.nextInt(SPREAD_MILLIS), () -> w.net.storeTrouble.remove(e.name));
+                    w.net.storeFaults.put(e.name, CallFault.REFUSED);
+                    w.time.schedule(w.random.nextInt(RECONNECT_SPREAD_MILLIS), () -> w.net.storeFaults.remove(e.name));
                 });
                 Map<String, Set<Long>> fences = new TreeMap<>();
-                for (long t = 0; t < WATCHED_MILLIS; t += LOOK_MILLIS) {
-                    w.time.runUntil(AWAY_FROM + AWAY_MILLIS + t);
+                for (long t = 0; t < OBSERVATION_MILLIS; t += POLL_MILLIS) {
+                    w.time.runUntil(OUTAGE_START + OUTAGE_MILLIS + t);
                     for (String duty : List.of("news", "archive", "promo", "partner", "@fleet")) {
                         if (w.fence(duty) > 0) {
                             fences.computeIfAbsent(duty, d -> new TreeSet<>()).add(w.fence(duty));
