--- a/model/src/test/java/org/lupinpaddle/model/ModelTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/ModelTest.java
@@ -33,116 +33,126 @@
 /** A short seeded run of the model, the seeds that once failed, and the proof that it can fail. */
 class ModelTest {
 
-    private static void holds(long seed, int faults) {
-        holds(seed, faults, new World(seed, faults));
+    private static void assertRulesHold(long seed, int faults) {
+        assertRulesHold(seed, faults, new World(seed, faults));
     }
 
-    private static void holds(long seed, int faults, World w) {
+    private static void assertRulesHold(long seed, int faults, World w) {
         try {
             w.run();
-        } catch (RuleBrokenException e) {
+        } catch (RuleViolationException e) {
             fail("seed " + seed + " with up to " + faults + " faults: " + e.getMessage() + "\n"
                     + String.join("\n", w.history()));
         }
     }
 
     @Nested
-    class Histories {
+    class SeededHistories {
 
         @Test
-        void withoutFaultsKeepEveryRule() {
-            LongStream.range(0, 20).forEach(s -> holds(s, 0));
+        void satisfyRulesWithoutFaults() {
+            LongStream.range(0, 20).forEach(seed -> assertRulesHold(seed, 0));
         }
 
         @Test
-        void withFaultsKeepEveryRule() {
-            LongStream.range(0, 150).parallel().forEach(s -> holds(s, 3));
+        void satisfyRulesUnderFaults() {
+            LongStream.range(0, 150).parallel().forEach(seed -> assertRulesHold(seed, 3));
         }
 
         @Test
-        void ofOneSeedAreTheSameEachTime() {
-            World one = new World(7, 3);
-            World two = new World(7, 3);
-            one.run();
-            two.run();
-            assertEquals(one.history(), two.history());
+        void areDeterministic() {
+            World first = new World(7, 3);
+            World second = new World(7, 3);
+            first.run();
+            second.run();
+            assertEquals(first.history(), second.history());
         }
     }
 
     @Nested
-    class AnotherWriter {
+    class MalformedRecords {
 
         @Test
-        void breaksNoRule() {
-            LongStream.range(0, 40).parallel().forEach(s -> holds(s, 0, new World(s, 0).withOtherWriter(s)));
+        void breakNoRuleWithoutFaults() {
+            LongStream.range(0, 40)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 0, new World(seed, 0).withCorruptRecords(seed)));
         }
 
         @Test
-        void breaksNoRuleAmongFaults() {
-            LongStream.range(0, 80).parallel().forEach(s -> holds(s, 3, new World(s, 3).withOtherWriter(s)));
+        void breakNoRuleUnderFaults() {
+            LongStream.range(0, 80)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 3, new World(seed, 3).withCorruptRecords(seed)));
         }
     }
 
     @Nested
     class WorkspaceQuotas {
 
-        private static final long HELD_QUOTA = 7_730_485;
+        private static final long HELD_QUOTA_SEED = 7_730_485;
 
         @Test
         void areNotExceededWithoutFaults() {
-            LongStream.range(0, 60).parallel().forEach(s -> holds(s, 0, new World(s, 0).withWorkspaces(s)));
+            LongStream.range(0, 60)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 0, new World(seed, 0).withWorkspaces(seed)));
         }
 
         @Test
         void areNotExceededUnderFaults() {
-            LongStream.range(0, 150).parallel().forEach(s -> holds(s, 4, new World(s, 4).withWorkspaces(s)));
+            LongStream.range(0, 150)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 4, new World(seed, 4).withWorkspaces(seed)));
         }
 
         /** Guards against placing by a maximum that was lowered while the store was out of reach. */
         @Test
-        void areNotExceededByAnOutdatedMaximum() {
-            holds(7_520_990, 10, new World(7_520_990, 10).withWorkspaces(7_520_990));
+        void areNotExceededAfterStoreOutage() {
+            assertRulesHold(7_520_990, 10, new World(7_520_990, 10).withWorkspaces(7_520_990));
         }
 
         /** Guards against starting what was placed by a maximum that was lowered while the choice was written. */
         @Test
-        void areNotExceededByEarlierChoices() {
+        void areNotExceededByEarlierPlacements() {
             World w = new World(8_802_090, 10).withRestarts(8_802_090).withWorkspaces(8_802_090);
-            holds(8_802_090, 10, w);
+            assertRulesHold(8_802_090, 10, w);
         }
 
         /** Guards against counting a job as lost whose quota is held by long-running tasks. */
         @Test
         void mayBeHeldByLongRunningTasks() {
-            holds(HELD_QUOTA, 10, world(Sabotage.NONE));
+            assertRulesHold(HELD_QUOTA_SEED, 10, world(Sabotage.NONE));
         }
 
         /** Guards against excusing jobs that could run within their quota. */
         @Test
-        void excuseNoJobThatCouldRun() {
-            RuleBrokenException e = assertThrows(
-                    RuleBrokenException.class,
+        void doNotExcuseRunnableJobs() {
+            RuleViolationException e = assertThrows(
+                    RuleViolationException.class,
                     () -> world(Sabotage.LIMITED_TASKS_REFUSED).run());
             assertTrue(String.valueOf(e.getMessage()).startsWith("LOST"), e.getMessage());
             assertTrue(String.valueOf(e.getMessage()).contains("was accepted and is not done"), e.getMessage());
         }
 
-        private static World world(Sabotage s) {
-            return new World(HELD_QUOTA, 10, s).withCrashingTasks(HELD_QUOTA).withWorkspaces(HELD_QUOTA);
+        private static World world(Sabotage sabotage) {
+            return new World(HELD_QUOTA_SEED, 10, sabotage)
+                    .withCrashingTasks(HELD_QUOTA_SEED)
+                    .withWorkspaces(HELD_QUOTA_SEED);
         }
     }
 
     @Nested
-    class AColdStart {
+    class ColdStart {
 
-        private static final long SETTLED_MILLIS = 1_500;
+        private static final long SETTLE_MILLIS = 1_500;
 
         /** All entries start within 0.3 s, as after a loss of power; one that wins all duties is slow with all. */
         @Test
-        void sharesTheDutiesOut() {
+        void distributesDuties() {
             for (long seed = 0; seed < 20; seed++) {
                 World w = new World(seed, 0);
-                w.begin(SETTLED_MILLIS);
+                w.runUntil(SETTLE_MILLIS);
                 Set<String> owners = new TreeSet<>(List.of(w.owner("clips"), w.owner("archive"), w.owner("@fleet")));
                 assertTrue(owners.size() > 1, "seed " + seed + ": " + owners);
             }
@@ -150,14 +160,14 @@
     }
 
     @Nested
-    class ASlowStore {
+    class SlowStore {
 
-        private static final long MILLIS = 250;
+        private static final long STORE_DELAY_MILLIS = 250;
 
         @Test
-        void doesNotKeepInstancesFromBeingOrdered() {
+        void doesNotPreventInstanceOrders() {
             World w = new World(11, 0);
-            w.net.storeDelay = MILLIS;
+            w.net.storeDelay = STORE_DELAY_MILLIS;
             w.run();
             assertTrue(
                     w.history().stream().anyMatch(l -> l.contains("MOVE") && l.endsWith("TAKEN")),
@@ -166,49 +176,49 @@
     }
 
     @Nested
-    class AnOwnerThatCanNotRead {
+    class OwnerThatCannotRead {
 
         private static final String DUTY = "clips";
-        private static final long SETTLED_MILLIS = 4_000;
-        private static final long WITHIN_MILLIS = 15_000;
+        private static final long SETTLE_MILLIS = 4_000;
+        private static final long TAKEOVER_LIMIT_MILLIS = 15_000;
 
         /** Its lease is renewed, so nobody would follow it: it has to give the duty to another by itself. */
         @Test
-        void givesItsDutyToAnother() {
+        void releasesItsDuty() {
             for (long seed = 0; seed < 10; seed++) {
                 World w = new World(seed, 0);
-                w.begin(SETTLED_MILLIS);
-                SimEntry first = w.entry(w.owner(DUTY));
+                w.runUntil(SETTLE_MILLIS);
+                SimEntry clipsOwner = w.entry(w.owner(DUTY));
                 List<SimEntry> others =
-                        w.entries.stream().filter(e -> e != first).toList();
-                SimEntry sound = others.get(others.size() - 1);
-                others.stream().filter(e -> e != sound).forEach(e -> w.net.pagesLost.add(e.name));
-                first.kill(World.NEVER);
-                w.time.runUntil(SETTLED_MILLIS + WITHIN_MILLIS);
-                assertEquals(sound.name, w.owner(DUTY), "seed " + seed);
+                        w.entries.stream().filter(e -> e != clipsOwner).toList();
+                SimEntry healthy = others.get(others.size() - 1);
+                others.stream().filter(e -> e != healthy).forEach(e -> w.net.entriesLosingPages.add(e.name));
+                clipsOwner.kill(World.NEVER);
+                w.time.runUntil(SETTLE_MILLIS + TAKEOVER_LIMIT_MILLIS);
+                assertEquals(healthy.name, w.owner(DUTY), "seed " + seed);
             }
         }
     }
 
     @Nested
-    class AnEntryThatLeavesADuty {
+    class EntryThatReleasesADuty {
 
-        private static final long SETTLED_MILLIS = 4_000;
-        private static final long UNTIL_MILLIS = 24_000;
+        private static final long SETTLE_MILLIS = 4_000;
+        private static final long END_MILLIS = 24_000;
 
         /** What can be read nowhere is no reason to stop serving what is served. */
         @Test
-        void keepsTheOthersThatItFulfils() {
+        void keepsItsOtherDuties() {
             for (long seed = 0; seed < 10; seed++) {
                 World w = new World(seed, 0);
-                w.begin(SETTLED_MILLIS);
-                String served = w.owner("archive");
-                String first = w.owner("clips");
-                if (!served.equals(first)) {
-                    w.entries.forEach(e -> w.net.pagesLost.add(e.name));
-                    w.entry(first).kill(World.NEVER);
-                    w.time.runUntil(UNTIL_MILLIS);
-                    assertEquals(served, w.owner("archive"), "seed " + seed);
+                w.runUntil(SETTLE_MILLIS);
+                String archiveOwner = w.owner("archive");
+                String clipsOwner = w.owner("clips");
+                if (!archiveOwner.equals(clipsOwner)) {
+                    w.entries.forEach(e -> w.net.entriesLosingPages.add(e.name));
+                    w.entry(clipsOwner).kill(World.NEVER);
+                    w.time.runUntil(END_MILLIS);
+                    assertEquals(archiveOwner, w.owner("archive"), "seed " + seed);
                 }
             }
         }
@@ -216,7 +226,7 @@
 
     /** Each broke a rule once; docs/FINDINGS.md has the causes. */
     @Nested
-    class SeedsThatFailed {
+    class RegressionSeeds {
 
         @ParameterizedTest
         @CsvSource({
@@ -253,27 +263,27 @@
             "913862, 10",
             "8421900, 10"
         })
-        void holdNow(long seed, int faults) {
-            holds(seed, faults);
+        void satisfyRules(long seed, int faults) {
+            assertRulesHold(seed, faults);
         }
     }
 
     @Nested
-    class Mechanisms {
+    class DisabledMechanisms {
 
         @ParameterizedTest
         @EnumSource(value = Sabotage.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-        void thatAreTakenOutAreMissed(Sabotage s) {
-            boolean missed = LongStream.range(0, 400).parallel().anyMatch(seed -> breaks(seed, s));
-            assertTrue(missed, "the model does not notice " + s);
+        void areDetected(Sabotage sabotage) {
+            boolean detected = LongStream.range(0, 400).parallel().anyMatch(seed -> violatesRule(seed, sabotage));
+            assertTrue(detected, "the model does not notice " + sabotage);
         }
 
-        private static boolean breaks(long seed, Sabotage s) {
+        private static boolean violatesRule(long seed, Sabotage sabotage) {
             try {
-                World w = new World(seed, 4, s);
-                (s.needsWorkspaces() ? w.withWorkspaces(seed) : w).run();
+                World w = new World(seed, 4, sabotage);
+                (sabotage.needsWorkspaces() ? w.withWorkspaces(seed) : w).run();
                 return false;
-            } catch (RuleBrokenException e) {
+            } catch (RuleViolationException e) {
                 return true;
             }
         }
--- a/model/src/test/java/org/lupinpaddle/model/WorkBoundTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/WorkBoundTest.java
@@ -49,50 +49,53 @@
     }
 
     @Nested
-    class AWork {
+    class WorkItems {
 
         @Test
-        void thatFitsIsDoneWhole() {
-            assertEquals(8, coreSeconds(cores(4).most(List.of(work(1, 3, 4, 8)))));
+        void thatFitAreDoneCompletely() {
+            assertEquals(8, coreSeconds(cores(4).maxCpuMillis(List.of(work(1, 3, 4, 8)))));
         }
 
         @Test
-        void isDoneByNoMoreThanItsTasks() {
-            assertEquals(4, coreSeconds(cores(16).most(List.of(work(1, 3, 2, 8)))), "two cores for two seconds");
+        void useNoMoreCpuThanTheirTasks() {
+            assertEquals(
+                    4, coreSeconds(cores(16).maxCpuMillis(List.of(work(1, 3, 2, 8)))), "two cores for two seconds");
         }
 
         @Test
-        void isDoneInItsTimeOnly() {
-            assertEquals(1, coreSeconds(cores(4).most(List.of(work(1.125, 1.375, 4, 8)))), "a quarter of a second");
+        void runOnlyWithinTheirTime() {
+            assertEquals(
+                    1, coreSeconds(cores(4).maxCpuMillis(List.of(work(1.125, 1.375, 4, 8)))), "a quarter of a second");
         }
 
         @Test
-        void thatBeginsWhenTheFleetHasEndedIsNotDone() {
-            assertEquals(0, cores(4).most(List.of(work(11, 12, 4, 4))));
+        void thatStartAfterTheLastSlotAreNotDone() {
+            assertEquals(0, cores(4).maxCpuMillis(List.of(work(11, 12, 4, 4))));
         }
 
         @Test
-        void thatLeavesLessTimeGoesFirst() {
+        void withEarlierDeadlineRunFirst() {
             List<Work> both = List.of(work(0, 4, 2, 4), work(0, 2, 2, 4));
-            assertEquals(8, coreSeconds(cores(2).most(both)), "the second in its two seconds, the first afterwards");
+            assertEquals(
+                    8, coreSeconds(cores(2).maxCpuMillis(both)), "the second in its two seconds, the first afterwards");
         }
 
         @Test
-        void ofAllTogetherIsNoMoreThanTheFleetHas() {
+        void shareTheCapacityOfTheFleet() {
             List<Work> many = new ArrayList<>();
             for (int i = 0; i < 10; i++) {
                 many.add(work(2, 4, 4, 4));
             }
-            assertEquals(16, coreSeconds(cores(8).most(many)));
+            assertEquals(16, coreSeconds(cores(8).maxCpuMillis(many)));
         }
     }
 
     @Nested
-    class TheBound {
+    class Bound {
 
         /** Serves whole slots by the earliest end, which is a plan: the bound must allow as much. */
         @Test
-        void isNeverBelowWhatAPlanDoes() {
+        void isNeverBelowAnActualSchedule() {
             for (long seed = 0; seed < 50; seed++) {
                 Random random = new Random(seed);
                 List<Work> all = new ArrayList<>();
@@ -100,19 +103,19 @@
                     double from = random.nextInt(32) / 4.0;
                     all.add(work(from, from + 0.5 + random.nextInt(8) / 4.0, 1 + random.nextInt(4), random.nextInt(8)));
                 }
-                long planned = earliestEndFirst(all, 6 * CORE);
-                long most = cores(6).most(all);
-                assertTrue(most >= planned, "seed " + seed + ": " + most + " of " + planned);
+                long scheduled = earliestDeadlineFirst(all, 6 * CORE);
+                long most = cores(6).maxCpuMillis(all);
+                assertTrue(most >= scheduled, "seed " + seed + ": " + most + " of " + scheduled);
             }
         }
 
-        private static long earliestEndFirst(List<Work> all, long cpu) {
+        private static long earliestDeadlineFirst(List<Work> all, long cpu) {
             long[] left = all.stream().mapToLong(Work::cpuMillis).toArray();
             long done = 0;
             for (long t = 0; t < 10_000; t += SLOT_MILLIS) {
                 long free = cpu * SLOT_MILLIS;
-                for (int w : byEnd(all)) {
-                    long now = Math.min(Math.min(free, left[w]), all.get(w).between(t, t + SLOT_MILLIS));
+                for (int w : indexesByDeadline(all)) {
+                    long now = Math.min(Math.min(free, left[w]), all.get(w).maxCpuMillisBetween(t, t + SLOT_MILLIS));
                     free -= now;
                     left[w] -= now;
                     done += now;
@@ -121,13 +124,13 @@
             return done;
         }
 
-        private static List<Integer> byEnd(List<Work> all) {
+        private static List<Integer> indexesByDeadline(List<Work> all) {
             List<Integer> order = new ArrayList<>();
             for (int i = 0; i < all.size(); i++) {
                 order.add(i);
             }
-            order.sort(
-                    (a, b) -> Long.compare(all.get(a).untilMillis(), all.get(b).untilMillis()));
+            order.sort((a, b) ->
+                    Long.compare(all.get(a).deadlineMillis(), all.get(b).deadlineMillis()));
             return order;
         }
     }
--- a/model/src/test/java/org/lupinpaddle/model/RestartsTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/WorkerRestartsTest.java
@@ -22,52 +22,54 @@
 import org.junit.jupiter.api.Test;
 
 /** Histories in which workers crash and start again under their ids. */
-class RestartsTest {
+class WorkerRestartsTest {
 
-    private static void holds(long seed, int faults, World w) {
+    private static void assertRulesHold(long seed, int faults, World w) {
         try {
             w.run();
-        } catch (RuleBrokenException e) {
+        } catch (RuleViolationException e) {
             fail("seed " + seed + " with up to " + faults + " faults: " + e.getMessage() + "\n"
                     + String.join("\n", w.history()));
         }
     }
 
     /** An innocent job is given up: two of the three workers that it lost crashed behind a cut, after its runs had ended. */
-    private static final long GIVEN_UP_WITHOUT_CAUSE = 76;
+    private static final long SEED_WITH_JOB_GIVEN_UP = 76;
 
     @Nested
-    class Histories {
+    class SeededHistories {
 
         /** Guards against taking the results of a later life of a worker for those of an earlier one. */
         @Test
-        void withoutOtherFaultsKeepEveryRule() {
+        void satisfyRulesWithoutOtherFaults() {
             LongStream.range(0, 100)
-                    .filter(s -> s != GIVEN_UP_WITHOUT_CAUSE)
+                    .filter(seed -> seed != SEED_WITH_JOB_GIVEN_UP)
                     .parallel()
-                    .forEach(s -> holds(s, 0, new World(s, 0).withRestarts(s)));
+                    .forEach(seed -> assertRulesHold(seed, 0, new World(seed, 0).withRestarts(seed)));
         }
 
         /** Guards against giving up a job whose workers crashed for other reasons. */
         @Test
-        void withCrashesBehindCutsGiveUpNothingWithoutCause() {
-            long s = GIVEN_UP_WITHOUT_CAUSE;
-            holds(s, 0, new World(s, 0).withRestarts(s));
+        void doNotGiveUpJobsForCrashesOfUnreachableWorkers() {
+            long seed = SEED_WITH_JOB_GIVEN_UP;
+            assertRulesHold(seed, 0, new World(seed, 0).withRestarts(seed));
         }
 
         /** Guards against the same while owners change, halls are cut off and the store is away. */
         @Test
-        void amongOtherFaultsKeepEveryRule() {
-            LongStream.range(0, 200).parallel().forEach(s -> holds(s, 6, new World(s, 6).withRestarts(s)));
+        void satisfyRulesUnderOtherFaults() {
+            LongStream.range(0, 200)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 6, new World(seed, 6).withRestarts(seed)));
         }
 
         /** Guards against tasks that are started without end since their workers come back under their ids. */
         @Test
-        void withTasksThatCrashTheirWorkersKeepEveryRule() {
+        void satisfyRulesWithCrashingTasks() {
             LongStream.range(0, 100)
                     .parallel()
-                    .forEach(s ->
-                            holds(s, 6, new World(s, 6).withCrashingTasks(s).withRestarts(s)));
+                    .forEach(seed -> assertRulesHold(
+                            seed, 6, new World(seed, 6).withCrashingTasks(seed).withRestarts(seed)));
         }
     }
 }
