--- a/model/src/main/java/org/lupinpaddle/model/CallFault.java
+++ b/model/src/main/java/org/lupinpaddle/model/CallFault.java
@@ -15,16 +15,16 @@
  */
 package org.lupinpaddle.model;
 
-/** What can go wrong on the way of one call. */
+/** A fault of a single call. */
 enum CallFault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** The call never arrives and nothing answers. */
+    /** The call never arrives and there is no answer. */
     SILENT,
-    /** The call is refused at once; nothing was done. */
+    /** The call is refused immediately and has no effect. */
     REFUSED,
-    /** The call is carried out, its answer is lost. */
+    /** The call takes effect, but its answer is lost. */
     ANSWER_LOST,
-    /** Nothing answers, and the call is carried out seconds later. */
+    /** There is no answer, and the call takes effect seconds later. */
     LATE
 }
--- a/model/src/main/java/org/lupinpaddle/model/CompletedRun.java
+++ b/model/src/main/java/org/lupinpaddle/model/CompletedRun.java
@@ -16,13 +16,13 @@
 package org.lupinpaddle.model;
 
 /**
- * The end of a run that did its task, and whether whoever places tasks has to know of it: as long as its worker keeps
- * it under a lease that has not lapsed since; and also after an order that took the worker away, if it was listed
- * before. Only with a worker that crashes may an end be lost.
+ * A run that completed its task. The owner must know of it while the worker holds it under a lease that has not lapsed
+ * since, and also after an order stopped the worker if the worker had reported it before. Only a crash of the worker
+ * may lose it.
  */
 final class CompletedRun {
 
-    // So long after it was listed an end counts as heard.
+    // How long after a report an owner must have received it.
     private static final long DELIVERY_MILLIS = 100;
 
     final SimWorker worker;
@@ -34,7 +34,7 @@
         this.leaseLapsesBefore = leaseLapsesBefore;
     }
 
-    /** Takes in that the worker tells of it. */
+    /** Records that the worker has reported this run. */
     void reported(long now) {
         reportedAt = Math.min(reportedAt, now);
     }
@@ -43,7 +43,7 @@
         return reportedAt + DELIVERY_MILLIS <= moment;
     }
 
-    /** Returns whether the task must not be started again. */
+    /** Returns whether the owner must know of this run, so that the task must not start again. */
     boolean forbidsRestart() {
         return worker.retains(this);
     }
--- a/model/src/main/java/org/lupinpaddle/model/CorruptRecordWriter.java
+++ b/model/src/main/java/org/lupinpaddle/model/CorruptRecordWriter.java
@@ -19,9 +19,9 @@
 import org.lupinpaddle.core.job.JobKeys;
 
 /**
- * Writes entries that can not be read into the store, beside what entries and workers write: over workers' records, under
- * keys of workers that there are none of, and as requests and records of the fleet's owner. Its luck is its own, so that
- * a seed means the same history with and without it.
+ * Writes malformed records into the store: over the records of workers, under the ids of workers that do not exist, and
+ * as evacuation requests. Uses its own random generator, so that a seed produces the same base history with and without
+ * it.
  */
 final class CorruptRecordWriter {
 
@@ -72,7 +72,7 @@
         return all.get(random.nextInt(all.size()));
     }
 
-    /** Puts an entry and takes it away again. */
+    /** Writes a malformed record and removes it later. */
     private void putTemporarily(String key) {
         world.history.add("another writer puts " + key);
         put(world.store, key, value());
@@ -83,7 +83,7 @@
         return MALFORMED_VALUES[random.nextInt(MALFORMED_VALUES.length)];
     }
 
-    /** Puts a value; the empty one stands for bytes that are no text. */
+    /** Writes a value; the empty string stands for bytes that are not text. */
     static void put(SimStore store, String key, String value) {
         if (value.isEmpty()) {
             store.putNonText(key);
--- a/model/src/main/java/org/lupinpaddle/model/CrashingTasks.java
+++ b/model/src/main/java/org/lupinpaddle/model/CrashingTasks.java
@@ -27,9 +27,9 @@
 import org.lupinpaddle.core.job.TaskId;
 
 /**
- * Jobs of which some tasks crash each worker that starts them, beside the jobs of a history: one such task or a whole step of
- * them, at once or after a part of their work, finite or lasting. Also lets workers crash by themselves, one or a rack at a
- * time. Its luck is its own, so that a seed means the same history with and without it.
+ * Adds jobs with tasks that crash every worker that starts them: a single task or a whole step, at the start or after
+ * some of the work, finite or long-running. Some workers or whole racks also crash without a cause. Uses its own random
+ * generator, so that a seed produces the same base history with and without it.
  */
 final class CrashingTasks {
 
@@ -45,7 +45,6 @@
     private final World world;
     private final Random random;
     private final Map<String, Map<TaskId, Long>> crashDelays = new HashMap<>();
-    /** How many workers were lost to such tasks. */
     private int workersLost;
 
     CrashingTasks(World world, long seed) {
@@ -117,20 +116,20 @@
         world.fleet.crash(w, MIN_DOWN_MILLIS + random.nextInt(DOWN_RANGE_MILLIS));
     }
 
-    /** Returns after how much of its work a task crashes its worker; nothing for one that does not. */
+    /** Returns how long after its start a task crashes its worker, or nothing if it does not. */
     OptionalLong crashDelayMillis(String job, TaskId task) {
         Long millis = crashDelays.getOrDefault(job, Map.of()).get(task);
         return millis == null ? OptionalLong.empty() : OptionalLong.of(millis);
     }
 
-    /** A task has crashed its worker. */
+    /** Records that a task has crashed its worker and takes the worker down. */
     void onCrash(SimWorker w, String job, TaskId task) {
         workersLost++;
         world.history.add(w.id() + " crashes under " + job + "." + task);
         crash(w);
     }
 
-    /** Returns how many workers were lost to tasks that crash them. */
+    /** Returns the number of workers that such tasks have crashed. */
     int workersLost() {
         return workersLost;
     }
--- a/model/src/main/java/org/lupinpaddle/model/EntryKind.java
+++ b/model/src/main/java/org/lupinpaddle/model/EntryKind.java
@@ -16,10 +16,10 @@
 package org.lupinpaddle.model;
 
 /**
- * Entries of one kind.
+ * A group of entries with the same resources.
  *
- * @param count how many there are
- * @param capacity what each can do, in thousandths of a core: duties go where there is most
- * @param linkBytesPerMilli what each one's link carries, either way
+ * @param count the number of entries
+ * @param capacity the CPU of each entry in thousandths of a core; duties go to the entries with the most
+ * @param linkBytesPerMilli the bandwidth of each entry's link in each direction
  */
 record EntryKind(int count, long capacity, long linkBytesPerMilli) {}
--- a/model/src/main/java/org/lupinpaddle/model/Fault.java
+++ b/model/src/main/java/org/lupinpaddle/model/Fault.java
@@ -18,22 +18,22 @@
 import java.util.Random;
 import java.util.function.Consumer;
 
-/** What can go wrong, and how it is done to a world. Each takes its share of luck from the world's seed. */
+/** The faults that a history can inject. Each draws its target and duration from the world's random generator. */
 enum Fault {
-    /** An entry is killed and comes back. */
+    /** An entry is killed and restarts. */
     ENTRY_KILLED((w, context) -> context.entry(w).kill(500 + context.millis(4_000))),
-    /** An entry stands still and wakes. */
+    /** An entry freezes and resumes. */
     ENTRY_FROZEN((w, context) -> context.entry(w).freeze(500 + context.millis(8_000))),
-    /** An entry is stopped as planned. */
+    /** An entry is stopped gracefully and restarts. */
     ENTRY_STOPPED((w, context) -> context.entry(w).stopGracefully()),
     /** All entries are killed at once. */
     ALL_KILLED((w, context) -> {
         long down = 500 + context.millis(3_000);
         w.entries.forEach(e -> e.kill(down));
     }),
-    /** The store turns an entry away, and ends its leases. */
+    /** An entry cannot reach the store, and the keys under its leases are removed. */
     ENTRY_TURNED_AWAY((w, context) -> context.cutFromStore(w, true)),
-    /** An entry does not reach the store. */
+    /** An entry cannot reach the store. */
     ENTRY_CUT_FROM_STORE((w, context) -> context.cutFromStore(w, false)),
     /** A hall is cut off from the others and the store. */
     HALL_CUT((w, context) -> {
@@ -50,7 +50,7 @@
             w.store.setLeasesPaused(false);
         });
     }),
-    /** Answers of the store to writes are lost; some are carried out late. */
+    /** The store loses answers to writes, or carries writes out late without an answer. */
     STORE_LOSES_ANSWERS((w, context) -> {
         w.net.storeFault = context.coinFlip() ? CallFault.ANSWER_LOST : CallFault.LATE;
         w.net.storeFaultShare = 0.35;
@@ -61,7 +61,7 @@
         w.net.storeDelay = 240;
         context.scheduleEnd(w, 2_000 + context.millis(4_000), () -> w.net.storeDelay = 0);
     }),
-    /** The store forgets its history. */
+    /** The store compacts its change history. */
     HISTORY_DROPPED((w, context) -> w.store.compact()),
     /** The operators change the configuration. */
     CONFIGURED((w, context) -> w.writeConfiguration()),
@@ -69,19 +69,19 @@
     WORKER_CRASHED((w, context) -> w.fleet.crash(context.worker(w), 500 + context.millis(8_000))),
     /** A worker is replaced. */
     WORKER_DRAINED((w, context) -> w.fleet.drain(context.worker(w), World.DRAIN_MILLIS + context.millis(4_000))),
-    /** A worker answers nobody, and runs on. */
+    /** A worker is unreachable, but its tasks run on. */
     WORKER_CUT((w, context) -> {
         SimWorker target = context.worker(w);
         w.net.unreachableWorkers.add(target.id());
         context.scheduleEnd(w, 1_000 + context.millis(12_000), () -> w.net.unreachableWorkers.remove(target.id()));
     }),
-    /** Some of a worker's orders get no answer and are carried out late. */
+    /** Some orders to a worker get no answer and take effect late. */
     WORKER_LATE((w, context) -> {
         SimWorker target = context.worker(w);
         w.net.workersWithLateOrders.add(target.id());
         context.scheduleEnd(w, 2_000 + context.millis(4_000), () -> w.net.workersWithLateOrders.remove(target.id()));
     }),
-    /** A worker fails all that it starts. */
+    /** A worker fails every task that it starts. */
     WORKER_FAILS_ALL((w, context) -> {
         SimWorker target = context.worker(w);
         target.failsAllTasks = true;
@@ -93,12 +93,12 @@
         target.slowness = 6;
         context.scheduleEnd(w, 2_000 + context.millis(5_000), () -> target.slowness = 1);
     }),
-    /** The store forgets a worker that lives on. */
+    /** The record of a running worker expires in the store for a while. */
     WORKER_LAPSED((w, context) -> w.fleet.loseRecord(context.worker(w), 500 + context.millis(3_000)));
 
     private final Action action;
 
-    /** How a fault is done. */
+    /** Applies a fault to a world. */
     private interface Action {
         void apply(World w, Context context);
     }
@@ -113,7 +113,7 @@
         log.accept(this + context.description.toString());
     }
 
-    /** The luck of one fault: whom it hits and for how long. */
+    /** Draws the target and duration of one fault and records them for the history. */
     private static final class Context {
         private final Random random;
         private final StringBuilder description = new StringBuilder();
--- a/model/src/main/java/org/lupinpaddle/model/FaultPlan.java
+++ b/model/src/main/java/org/lupinpaddle/model/FaultPlan.java
@@ -15,7 +15,7 @@
  */
 package org.lupinpaddle.model;
 
-/** Which faults strike when. */
+/** Schedules a random number of faults at random times of a history. */
 final class FaultPlan {
 
     private final World world;
--- a/model/src/main/java/org/lupinpaddle/model/History.java
+++ b/model/src/main/java/org/lupinpaddle/model/History.java
@@ -18,7 +18,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What happened, a line each. */
+/** The log of a simulated history, one line per event. */
 final class History {
 
     private final VirtualTime time;
--- a/model/src/main/java/org/lupinpaddle/model/Link.java
+++ b/model/src/main/java/org/lupinpaddle/model/Link.java
@@ -20,15 +20,15 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * One direction of an entry's link to the store. What is under way shares the rate evenly, as channels do; what nobody
- * waits for any more is dropped where it stands.
+ * One direction of an entry's network link. Concurrent transfers share the bandwidth evenly, as multiplexed streams do;
+ * a transfer that is no longer needed stops using it.
  */
 final class Link {
 
-    /** A rate at which everything arrives at once. */
+    /** A bandwidth at which all transfers complete immediately. */
     static final long UNLIMITED = 0;
 
-    // Small enough that a short answer is not held up by a long one, large enough to be few steps.
+    // Small enough that a short answer is not delayed by a long one, large enough to keep the number of events low.
     private static final long CHUNK_BYTES = 4_096;
 
     private final VirtualTime time;
@@ -58,7 +58,7 @@
         return bytesPerMilli != UNLIMITED;
     }
 
-    /** Carries so many bytes, then runs a step; it is not run when nobody wants them by then. */
+    /** Transfers bytes and then runs {@code onArrival}, unless {@code wanted} returns false by then. */
     void transfer(long bytes, BooleanSupplier wanted, Runnable onArrival) {
         if (!isLimited()) {
             onArrival.run();
--- a/model/src/main/java/org/lupinpaddle/model/MaxFlow.java
+++ b/model/src/main/java/org/lupinpaddle/model/MaxFlow.java
@@ -20,7 +20,7 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The largest flow through a network whose connections have capacities, by Dinic's algorithm. */
+/** Computes the maximum flow through a network with Dinic's algorithm. */
 final class MaxFlow {
 
     private static final int UNREACHED = -1;
@@ -29,7 +29,7 @@
     private final int[] level;
     private final int[] nextEdge;
 
-    /** A connection, or the way back along one: its capacity is what may still flow. */
+    /** An edge of the residual network; its capacity is what may still flow. */
     private static final class Edge {
         final int to;
         final int reverse;
@@ -42,7 +42,7 @@
         }
     }
 
-    /** Makes a network of this many nodes, without connections. */
+    /** Creates a network with the given number of nodes and no edges. */
     MaxFlow(int nodes) {
         for (int i = 0; i < nodes; i++) {
             adjacency.add(new ArrayList<>());
@@ -51,7 +51,7 @@
         nextEdge = new int[nodes];
     }
 
-    /** Connects two nodes, one way. */
+    /** Adds a directed edge. */
     void addEdge(int from, int to, long capacity) {
         List<Edge> forward = adjacency.get(from);
         List<Edge> backward = adjacency.get(to);
@@ -59,7 +59,7 @@
         backward.add(new Edge(from, forward.size() - 1, 0));
     }
 
-    /** Returns the largest flow; it uses the capacities up, so it can be asked for once. */
+    /** Returns the maximum flow. Consumes the capacities, so it can be called only once. */
     long maxFlow(int source, int sink) {
         long total = 0;
         while (buildLevels(source, sink)) {
@@ -73,7 +73,7 @@
         return total;
     }
 
-    /** Sets each node's distance from the source; returns whether the sink has one. */
+    /** Computes each node's distance from the source; returns whether the sink is reachable. */
     private boolean buildLevels(int source, int sink) {
         Arrays.fill(level, UNREACHED);
         level[source] = 0;
@@ -90,7 +90,7 @@
         return level[sink] != UNREACHED;
     }
 
-    /** Sends what one shortest way still takes, up to a limit; returns 0 when there is none left. */
+    /** Sends flow along one shortest path, up to a limit; returns 0 if there is no such path left. */
     private long augment(int node, int sink, long limit) {
         if (node == sink) {
             return limit;
--- a/model/src/main/java/org/lupinpaddle/model/ModelMain.java
+++ b/model/src/main/java/org/lupinpaddle/model/ModelMain.java
@@ -23,8 +23,8 @@
 import java.util.stream.LongStream;
 
 /**
- * Runs histories by hand. Exit codes: 0 every rule held, 1 one was broken, 2 wrong words. To see an entry's own
- * log of one seed, set {@code -Dtinylog.level=info}.
+ * Runs histories from the command line. Exit codes: 0 no violation, 1 at least one violation, 2 invalid arguments. Set
+ * {@code -Dtinylog.level=info} to see the log of the entries for a single seed.
  */
 @Command(name = "lupinpaddle-model", description = "Runs seeded histories on virtual time and checks the rules")
 public final class ModelMain {
@@ -52,7 +52,7 @@
     @Option(name = "--workspaces", description = "Callers belong to workspaces with keys and quotas, which change")
     private boolean workspaces;
 
-    /** Runs the histories that the arguments name. */
+    /** Runs the histories that the arguments select. */
     public static void main(String[] args) {
         System.exit(run(args));
     }
--- a/model/src/main/java/org/lupinpaddle/model/Network.java
+++ b/model/src/main/java/org/lupinpaddle/model/Network.java
@@ -21,7 +21,7 @@
 import java.util.Random;
 import java.util.Set;
 
-/** Which calls arrive, how long they take and what goes wrong with them. */
+/** Decides which calls arrive, how long they take and which fault they meet. */
 final class Network {
 
     private static final int MIN_LATE_MILLIS = 2_000;
@@ -29,21 +29,21 @@
 
     private final VirtualTime time;
     private final Random random;
-    /** Halls that reach nothing outside themselves. */
+    /** Halls that are cut off from everything outside themselves. */
     final Set<String> isolatedHalls = new HashSet<>();
-    /** Entries that do not reach the store, and what happens to their calls. */
+    /** Entries whose calls to the store fail, with the kind of failure. */
     final Map<String, CallFault> storeFaults = new HashMap<>();
-    /** Entries to which no page of the store arrives, though their other calls are answered. */
+    /** Entries that never receive a page of records, though the store answers their other calls. */
     final Set<String> entriesLosingPages = new HashSet<>();
-    /** Workers, by id, that answer nobody. */
+    /** Ids of workers that answer nobody. */
     final Set<String> unreachableWorkers = new HashSet<>();
-    /** Workers, by id, of whose orders some get no answer and are carried out late. */
+    /** Ids of workers for which some orders get no answer and take effect late. */
     final Set<String> workersWithLateOrders = new HashSet<>();
-    /** Trouble of the store itself, for every entry. */
+    /** A fault of the store itself that affects every entry. */
     CallFault storeFault = CallFault.NONE;
-    /** The share of writes that {@link #store} hits when answers are lost. */
+    /** The share of writes that {@link #storeFault} affects if answers are lost or late. */
     double storeFaultShare = 1;
-    /** How much longer the store takes. */
+    /** Additional delay of each call to the store in milliseconds. */
     long storeDelay;
 
     Network(VirtualTime time, Random random) {
--- a/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
+++ b/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
@@ -23,17 +23,17 @@
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** All entries lose power at one moment and start anew; some time later service is to be back. */
+/** Kills all entries at once and checks that service is back within a time limit after their restart. */
 final class PowerLossRecovery {
 
     private static final long DOWN_MILLIS = 1_300;
     private static final long POLL_MILLIS = 100;
     private static final int RESTART_SPREAD_MILLIS = 300;
     private static final long RECOVERY_LIMIT_MILLIS = 15_000;
-    // Jobs handed in later than this before the check need not be done yet.
+    // A job submitted less than this before the check need not be done yet.
     private static final long MAX_JOB_MILLIS = 5_000;
     private static final int INVERSE_MIN_DONE_SHARE = 4;
-    // A worker keeps a task's place for a while, and starts take their time: some may be on their way.
+    // Workers keep the room of a task for a while and starts take time, so some starts may still be in progress.
     private static final double MAX_SHARE_NOT_SERVING = 0.1;
 
     private final World world;
@@ -52,7 +52,7 @@
         });
     }
 
-    /** Writes into the history when which services have an owner that schedules. */
+    /** Records in the history each change in the set of services without an owner that schedules. */
     private void recordUnscheduled(Set<String> before) {
         Set<String> now = unscheduledServices();
         if (!now.equals(before)) {
@@ -61,17 +61,17 @@
         world.time.schedule(POLL_MILLIS, () -> recordUnscheduled(now));
     }
 
-    /** Returns when all entries are back. */
+    /** Returns the time at which all entries have restarted. */
     private long restartedAt() {
         return powerLossAt + DOWN_MILLIS + RESTART_SPREAD_MILLIS;
     }
 
-    /** Returns by when service is to be back. */
+    /** Returns the time at which service must have recovered. */
     long end() {
         return restartedAt() + RECOVERY_LIMIT_MILLIS;
     }
 
-    /** Returns the services of which nobody, or no owner of now, has told how many jobs wait. */
+    /** Returns the services whose current owner has not yet written a report on its queue. */
     Set<String> unscheduledServices() {
         Set<String> all = new TreeSet<>();
         for (String s : world.site.services()) {
@@ -86,7 +86,10 @@
         return all;
     }
 
-    /** Holds what is so now against the rule. */
+    /**
+     * Checks that all services are scheduled, that at least a quarter of the jobs submitted since the restart are done,
+     * and that most long-running tasks are serving.
+     */
     void check() {
         List<String> violations = new ArrayList<>();
         Set<String> services = unscheduledServices();
--- a/model/src/main/java/org/lupinpaddle/model/RotatingLoad.java
+++ b/model/src/main/java/org/lupinpaddle/model/RotatingLoad.java
@@ -22,13 +22,13 @@
 import org.lupinpaddle.core.job.Submission;
 
 /**
- * Demand that comes by turns: each queue in its turn asks for some seconds about five times its mean, and a twentieth
- * in between. One job of each queue lasts.
+ * Generates load that rotates between the queues: each queue in turn submits about five times its mean rate for a few
+ * seconds, and a twentieth of it the rest of the time. Each queue also has one long-running job.
  */
 final class RotatingLoad {
 
     private static final long BURST_MILLIS = 4_500;
-    // Of 23.4 s, 4.5 s at five times the mean and the rest at a twentieth give the mean.
+    // 4.5 s at five times the mean and 18.9 s at a twentieth of it average to about the mean.
     private static final long PERIOD_MILLIS = 23_400;
     private static final double BURST_FACTOR = 5;
     private static final double IDLE_FACTOR = 0.05;
@@ -38,7 +38,7 @@
     private static final int TASKS_PER_STEP = 8;
     private static final int MAX_STEPS = 4;
 
-    /** Jobs a second of each queue, in the order of the site's services: 37 together. */
+    /** Mean rate of each queue in jobs per second, in the order of the site's services; 37 in total. */
     private static final List<Double> MEAN_JOBS_PER_SECOND = List.of(13.3, 3.2, 16.6, 3.9);
 
     private final World world;
@@ -48,7 +48,7 @@
         this.world = world;
     }
 
-    /** Hands jobs in from one moment to another. */
+    /** Schedules all submissions between two times. */
     void plan(long from, long until) {
         int queues = world.site.services().size();
         for (int q = 0; q < queues; q++) {
--- a/model/src/main/java/org/lupinpaddle/model/RuleViolationException.java
+++ b/model/src/main/java/org/lupinpaddle/model/RuleViolationException.java
@@ -15,12 +15,11 @@
  */
 package org.lupinpaddle.model;
 
-/** A history broke a rule; the message says which and how. */
+/** Thrown when a history violates a rule; the message names the rule and gives the details. */
 public final class RuleViolationException extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
-    /** Makes the exception. */
     RuleViolationException(String rule, String how) {
         super(rule + ": " + how);
     }
--- a/model/src/main/java/org/lupinpaddle/model/Rules.java
+++ b/model/src/main/java/org/lupinpaddle/model/Rules.java
@@ -31,49 +31,54 @@
 import org.lupinpaddle.core.run.EndReport;
 import org.lupinpaddle.core.run.StartOrder;
 
-/** Holds what workers and callers see against the rules, and ends a history at the first that is broken. */
+/** Tracks what workers and callers observe, checks it against the rules, and ends a history at the first violation. */
 final class Rules {
 
-    /** A rule. */
+    /** The rules that every history must satisfy. */
     enum Rule {
-        /** A task runs at most once at a time, and not again after it was done. */
+        /** A task runs at most once at a time, and not again after it is done. */
         TWICE,
         /** A task starts after the steps before its own. */
         ORDER,
-        /** Nothing starts that nobody asked for, or that was cancelled a while ago. */
+        /** Only submitted jobs start, and none that was cancelled a while ago. */
         UNASKED,
-        /** Nothing starts of a job all of whose submissions were refused. */
+        /** No task starts if every submission of its job was refused. */
         REFUSED,
-        /** No more starts than attempts, and an end to the starts of what crashes its workers. */
+        /**
+         * A task starts no more often than its queue allows, and a task that crashes its workers is eventually given
+         * up.
+         */
         BUDGET,
-        /** Tasks start on workers of their service, with the label, within the most of one worker. */
+        /**
+         * Tasks start on workers of their service that have the required label, within the limit of tasks per worker.
+         */
         ROUTE,
-        /** A worker that does not guard its room is not taken beyond it. */
+        /** A worker that does not enforce its own resource limits is not given more than it has. */
         LIMIT,
-        /** Lasting tasks at work are not taken away by more than their caller allows. */
+        /** No more serving long-running tasks are stopped at a time than their caller allows. */
         AVAIL,
-        /** A worker that drains gets nothing new. */
+        /** A draining worker gets no new tasks. */
         DRAIN,
         /** Orders on instances come from one owner at a time. */
         ONE,
-        /** Callers are told the truth. */
+        /** Callers are told that a job is completed only if it is. */
         MIXED,
-        /** Accepted work is done in the end. */
+        /** Accepted jobs are completed in the end, and callers are told no false failure, cancellation or absence. */
         LOST,
-        /** No more instances of a wave are down than allowed. */
+        /** No more instances of a wave are down at a time than allowed, and the wave completes. */
         WAVE,
         /** A workspace's running tasks stay within its quota. */
         QUOTA,
         /** Keys are accepted or refused according to a configuration that may be in force. */
         CONFIG,
-        /** After a loss of power of all entries service comes back. */
+        /** Service recovers after all entries lose power. */
         RECOVER
     }
 
-    /** A task under which so many workers have crashed may be given up. */
+    /** The number of crashed workers after which a task may be given up. */
     static final int MIN_CRASHES_TO_GIVE_UP = 2;
 
-    // What crashes its workers is not started so often after so many have crashed.
+    // A task that has crashed three workers must not start three more times.
     private static final int CRASHES_BEFORE_START_LIMIT = 3;
     private static final int START_LIMIT_AFTER_CRASHES = 3;
     private static final long CANCEL_GRACE_MILLIS = 3_000;
@@ -84,7 +89,7 @@
     private final Map<String, TrackedJob> jobs = new HashMap<>();
     private @Nullable SimWorkspaces workspaces;
 
-    /** What is true of a job, whoever knows it. */
+    /** The actual state of a job, independent of what any entry knows. */
     static final class TrackedJob {
         final String id;
         final String service;
@@ -127,12 +132,12 @@
                     .sum();
         }
 
-        /** Returns how many workers have crashed under one of its tasks, at most. */
+        /** Returns the largest number of workers that crashed under any of its tasks. */
         int maxWorkerCrashes() {
             return tasks.values().stream().mapToInt(t -> t.workerCrashes).max().orElse(0);
         }
 
-        /** Returns whether a task has failed as often as its queue allows. */
+        /** Returns whether one of its tasks has failed as often as its queue allows. */
         boolean hasUsedUpAttempts() {
             return tasks.values().stream().anyMatch(t -> t.failed >= maxAttempts);
         }
@@ -169,26 +174,29 @@
         }
     }
 
-    /** What is true of a task. */
+    /** The actual state of a task. */
     static final class TrackedTask {
         @Nullable
         SimWorker runsOn;
 
         boolean done;
         boolean doneAcknowledged;
-        /** When an end as done was first noted after a lapse of its worker's lease; starts sent before may still arrive. */
+        /**
+         * When a completion was first acknowledged after a lapse of its worker's lease; starts sent before may still
+         * arrive.
+         */
         long doneAcknowledgedAfterLapseAt = World.NEVER;
 
-        /** Ends as done, by worker and run, after which the task was started again. */
+        /** Completed runs, by worker and run, after which the task was started again. */
         final Set<String> restartedAfter = new HashSet<>();
 
         final Set<String> completedRunIds = new HashSet<>();
-        /** The same, with what has become of them. */
+        /** The completed runs with their state on the worker. */
         final List<CompletedRun> completedRuns = new ArrayList<>();
 
-        /** How many workers have crashed while they ran it, whatever the cause. */
+        /** The number of workers that crashed while they ran it, whatever the cause. */
         int workerCrashes;
-        /** How many it has crashed itself. */
+        /** The number of workers that the task itself crashed. */
         int crashesCaused;
 
         int startsAfterCrashes;
@@ -202,7 +210,7 @@
             this.notServingSince = notServingSince;
         }
 
-        /** Away through an order, or for so long that any cause counts. */
+        /** Returns whether it does not serve, because of an order or for so long that the owner must have noticed. */
         boolean isUnavailable(long now) {
             return !serving && (removedByOrder || now - notServingSince >= DETECTION_MILLIS);
         }
@@ -240,7 +248,7 @@
         }
     }
 
-    /** A worker begins a run; bounds of time do not hold for an order that it carries out late. */
+    /** Checks the start of a run. Time limits do not apply to an order that the worker carries out late. */
     void onStart(SimWorker w, StartOrder o, boolean late) {
         String what = o.jobId() + "." + o.task() + " run " + o.run() + " on " + w.incarnationId();
         TrackedJob job = jobs.get(o.jobId());
@@ -293,13 +301,13 @@
             return;
         }
         long running = runningCpu(job.workspace, j -> true);
-        // The rule allows one task beyond the tolerated overage.
+        // The rule allows one task beyond the tolerance.
         double limit = limitedWorkspaces.maxCpu(job.workspace)
                 + job.step(started).need().cpuMillis();
         require(Rule.QUOTA, running <= limit, what + ": " + job.workspace + " runs " + running + ", limit " + limit);
     }
 
-    /** Returns the CPU that a workspace's running tasks of some jobs use, in thousandths of a core. */
+    /** Returns the CPU that the running tasks of a workspace's matching jobs use, in thousandths of a core. */
     long runningCpu(String workspace, Predicate<TrackedJob> which) {
         return jobs.values().stream()
                 .filter(j -> j.workspace.equals(workspace) && which.test(j))
@@ -317,7 +325,7 @@
         }
     }
 
-    /** A worker crashes while it runs the task, whatever the cause. */
+    /** Records that a worker crashed while it ran the task, whatever the cause. */
     void onWorkerCrash(String jobId, TaskId id) {
         TrackedJob job = jobs.get(jobId);
         if (job != null) {
@@ -325,7 +333,7 @@
         }
     }
 
-    /** A task crashes its worker. */
+    /** Records that a task crashed its worker. */
     void onCrashByTask(String jobId, TaskId id) {
         TrackedJob job = jobs.get(jobId);
         if (job != null) {
@@ -350,7 +358,7 @@
         require(Rule.ROUTE, runningOnWorker < maxPerWorker, what + ": " + runningOnWorker + " of its step are there");
     }
 
-    /** A run is over on its worker. */
+    /** Records that a run has ended on its worker. */
     void onRunEnded(SimWorker w, String jobId, TaskId id, int run, EndKind kind) {
         TrackedJob job = jobs.get(jobId);
         if (job == null) {
@@ -369,7 +377,7 @@
         }
     }
 
-    /** A run has done its task. */
+    /** Records that a run has completed its task. */
     void onTaskDone(String jobId, TaskId id, CompletedRun end) {
         TrackedJob job = jobs.get(jobId);
         if (job != null) {
@@ -377,7 +385,10 @@
         }
     }
 
-    /** A worker has been told to forget an end: that notes it, unless the worker's lease has lapsed since the end. */
+    /**
+     * Records that an owner acknowledged the end of a run. After a lapse of the worker's lease the acknowledgement no
+     * longer proves that the owner received the end.
+     */
     void onAcknowledged(SimWorker w, EndReport end, boolean lapsedSince) {
         TrackedJob job = jobs.get(end.jobId());
         if (job == null) {
@@ -416,7 +427,7 @@
         t.serving = isServing;
     }
 
-    /** A lasting task that is at work is about to be ended by an order. */
+    /** Checks an order that is about to stop a serving long-running task. */
     void onRemovedByOrder(SimWorker w, String jobId, TaskId id, String order) {
         TrackedJob job = jobs.get(jobId);
         if (job == null || job.cancelSent) {
@@ -442,7 +453,7 @@
         job.task(id).removedByOrder = true;
     }
 
-    /** A caller is told that a job has come to an end. */
+    /** Checks that a job reported as completed is completed. */
     void onReportedCompleted(TrackedJob job) {
         require(Rule.MIXED, job.allDone(), job.id + " is said to be completed, and is not");
     }
--- a/model/src/main/java/org/lupinpaddle/model/Sabotage.java
+++ b/model/src/main/java/org/lupinpaddle/model/Sabotage.java
@@ -15,15 +15,15 @@
  */
 package org.lupinpaddle.model;
 
-/** A mechanism that is taken out, to show that the model notices its absence. */
+/** A production mechanism that a test disables to show that the rules detect its absence. */
 enum Sabotage {
-    /** Nothing is taken out. */
+    /** No mechanism is disabled. */
     NONE,
-    /** Workers see the same fence from every owner. */
+    /** Workers receive the same fencing token from every owner. */
     NO_FENCES,
-    /** Workers are told to forget ends as soon as they list them. */
+    /** Owners acknowledge the ends of runs as soon as a worker reports them, before they are stored. */
     ENDS_FORGOTTEN_EARLY,
-    /** A new owner of the fleet is not told which instances its predecessor has ordered lately. */
+    /** A new owner of the fleet cannot read which instances its predecessor has ordered recently. */
     RECENT_ORDERS_UNTOLD,
     /** Quota allocations are not written to the store, so owners do not see each other's grants. */
     QUOTAS_NOT_SHARED,
@@ -32,7 +32,7 @@
     /** Entries keep using the first configuration that they have read. */
     CONFIGURATION_NOT_UPDATED;
 
-    /** Returns whether it has an effect only in histories with workspaces. */
+    /** Returns whether this switch only has an effect in histories with workspaces. */
     boolean needsWorkspaces() {
         return this == QUOTAS_NOT_SHARED || this == LIMITED_TASKS_REFUSED || this == CONFIGURATION_NOT_UPDATED;
     }
--- a/model/src/main/java/org/lupinpaddle/model/SimCaller.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimCaller.java
@@ -26,7 +26,10 @@
 import org.lupinpaddle.daemon.jobs.JobIntake;
 import org.lupinpaddle.daemon.jobs.SubmitOutcome;
 
-/** A caller with one job: hands it in until it knows, asks how it stands, sometimes cancels it. */
+/**
+ * A caller with one job. It retries the submission until the result is known, polls the job's state, and sometimes
+ * cancels the job.
+ */
 final class SimCaller {
 
     private static final long CALL_TIMEOUT_MILLIS = 3_000;
--- a/model/src/main/java/org/lupinpaddle/model/SimEntry.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimEntry.java
@@ -21,7 +21,7 @@
 import org.lupinpaddle.daemon.jobs.JobNode;
 import org.lupinpaddle.daemon.settings.JobSettings;
 
-/** One entry: its place, and the life of the process that runs there now. */
+/** An entry with its name and hall, and the process that currently runs it. */
 final class SimEntry {
 
     private static final long SHUTDOWN_MILLIS = 3_000;
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Stops as on SIGTERM: hands over, serves on for a while, ends, and comes back. */
+    /** Stops as on SIGTERM: hands its duties over, keeps serving for a while, exits and restarts. */
     void stopGracefully() {
         if (!isUp()) {
             return;
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -40,12 +40,12 @@
 import org.lupinpaddle.core.run.RunningReport;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
-/** The instances with the workers that live on them, and the platform's orders on instances. */
+/** The instances and their workers, with the platform's orders on instances. */
 final class SimFleet {
 
     private static final long LIST_LAG_MILLIS = 800;
     private static final long RECORD_TTL_MILLIS = 4_500;
-    /** A worker's clock counts from anywhere: it may have been up for as long. */
+    /** A worker's clock starts at an arbitrary offset, as if the worker had been up for up to this long. */
     private static final int MAX_WORKER_AGE_MILLIS = 100_000;
 
     private final VirtualTime time;
@@ -182,7 +182,7 @@
                 .toList();
     }
 
-    /** A worker crashes; its instance comes back with another life, under a new id as a rule. */
+    /** Crashes a worker. Its instance returns with a new worker, under a new id unless the history keeps ids. */
     void crash(SimWorker w, long downMillis) {
         if (keepsId.getAsBoolean()) {
             restart(w, downMillis);
@@ -191,7 +191,7 @@
         }
     }
 
-    /** A worker crashes and comes back under its id, knowing nothing of before. */
+    /** Crashes a worker that restarts under its id without any state. */
     void restart(SimWorker w, long downMillis) {
         crash(w, downMillis, instance -> {
             instance.state = State.UP;
@@ -215,7 +215,7 @@
         });
     }
 
-    /** A worker drains, leaves, and another comes. */
+    /** Drains a worker, removes it and starts another one on its instance. */
     void drain(SimWorker w, long remainingMillis) {
         SimInstance instance = findInstance(w);
         if (instance == null || !w.isUp() || w.drainingSince() != World.NEVER) {
@@ -237,12 +237,14 @@
         });
     }
 
-    /** An entry is told to end, or dies: from then on it is not one of two owners that take turns. */
+    /**
+     * Marks an entry that stops or dies. An order of its successor does not count as one of two alternating owners.
+     */
     void markLeaving(String entry) {
         leavingEntries.add(entry);
     }
 
-    /** The entry is back. */
+    /** Marks an entry as restarted. */
     void markReturned(String entry) {
         if (leavingEntries.remove(entry)) {
             instances.values().stream()
@@ -251,8 +253,10 @@
         }
     }
 
-    /** The store forgets a worker that lives on, for a while. */
-    /** Another writer writes over a worker's record; if the worker lives, it puts its own again after a time. */
+    /**
+     * Overwrites a worker's record with a malformed value. The worker writes its own record again after a while if it
+     * still runs.
+     */
     void corruptRecord(SimWorker w, String value, long millis) {
         CorruptRecordWriter.put(store, World.WORKERS + w.id(), value);
         time.schedule(millis, () -> {
@@ -264,6 +268,7 @@
         });
     }
 
+    /** Removes a running worker's record from the store for a while. */
     void loseRecord(SimWorker w, long millis) {
         store.clear(World.WORKERS + w.id());
         time.schedule(millis, () -> {
@@ -289,7 +294,7 @@
         return List.copyOf(instances.keySet());
     }
 
-    /** Returns the instances of a wave that have not had their upkeep. */
+    /** Returns the instances of a wave that have not had their maintenance yet. */
     List<String> notMaintained(long wave) {
         UpkeepWave w = waves.get(wave);
         return w == null
@@ -299,7 +304,7 @@
                         .toList();
     }
 
-    /** Returns the runs that an instance's worker shows. */
+    /** Returns the active runs on an instance. */
     List<RunningReport> tasksOn(String instanceId) {
         SimInstance instance = instances.get(instanceId);
         return instance == null || instance.worker == null ? List.of() : instance.worker.runningReports();
--- a/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
@@ -21,7 +21,7 @@
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** One entry's way to the instances. */
+/** An entry's client for the platform's list of instances and orders on them. */
 final class SimInstancePort implements InstanceOrders {
 
     private final World world;
--- a/model/src/main/java/org/lupinpaddle/model/SimRecords.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimRecords.java
@@ -24,7 +24,7 @@
 import org.lupinpaddle.daemon.port.PlatformRecords;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** The records of operators and workers, in the product's own form. */
+/** Reads and writes the platform's records in the product's own JSON form. */
 final class SimRecords implements PlatformRecords {
 
     private final Sabotage sabotage;
--- a/model/src/main/java/org/lupinpaddle/model/SimStore.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStore.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.daemon.port.StoreCommit;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** The platform's store: items with revisions, leases, history, and commits that are whole or not at all. */
+/** An in-memory model of the platform's store: items with revisions, leases, a change history and atomic commits. */
 final class SimStore {
 
-    // About what the platform's store gives in one answer.
+    // About the page size of the platform's store.
     private static final int PAGE_ITEMS = 500;
     private static final long PAGE_BYTES = 1 << 20;
 
@@ -44,10 +44,14 @@
     private long revision = 1;
     private long compactedUpTo;
     private long nextLease = 1;
-    /** While leases wait, none runs out. */
+    /** While set, no lease expires. */
     private boolean leasesPaused;
 
-    /** Some items in a row, whether more follow, and the store's revision. */
+    /**
+     * A page of consecutive items with the store's revision.
+     *
+     * @param more whether more items follow
+     */
     record Page(List<StoreItem> items, boolean more, long revision) {}
 
     private record Event(
@@ -72,7 +76,7 @@
         return Optional.ofNullable(items.get(key));
     }
 
-    /** Returns a page of the items under a prefix, from behind a key on. */
+    /** Returns a page of the items under a prefix, starting behind the key {@code after}. */
     Page page(String prefix, String after) {
         List<StoreItem> page = new ArrayList<>();
         long bytes = 0;
@@ -91,8 +95,9 @@
     }
 
     /**
-     * Returns what has changed after a revision, or null when that is not kept any more. Up to a later revision the
-     * caller has looked already and seen nothing: with hundreds of watches, nobody can look at all history each time.
+     * Returns the changes under a prefix after a revision, or null if the history no longer reaches back that far. The
+     * caller has already found no changes up to {@code seenRevision}; skipping these keeps hundreds of watches from
+     * scanning the whole history each time.
      */
     @Nullable
     StoreChanges changes(String prefix, long after, long seenRevision) {
@@ -122,7 +127,7 @@
         return revision;
     }
 
-    /** Runs a step at the next change. */
+    /** Runs an action once, at the next change. */
     void onNextChange(Runnable r) {
         watchers.add(r);
     }
@@ -174,14 +179,14 @@
         }
     }
 
-    /** Writes what operators and workers write. */
+    /** Writes an item without a lease, as operators and workers do. */
     void set(String key, String value) {
         revision++;
         put(new StoreItem(key, value, revision, 0));
         notifyWatchers();
     }
 
-    /** Writes bytes that are no text. */
+    /** Writes a value that is not text. */
     void putNonText(String key) {
         revision++;
         put(StoreItem.notText(key, revision, 0));
@@ -247,7 +252,7 @@
         return true;
     }
 
-    /** Takes the keys away that are under a lease and have this value; the lease lives on, and nobody is told. */
+    /** Removes the leased keys with this value. Their leases stay, and their holders are not notified. */
     void revoke(String value) {
         revision++;
         items.values().stream()
--- a/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
@@ -33,13 +33,14 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 import org.lupinpaddle.daemon.port.StorePage;
 
-/** One entry's way to the store. */
+/** An entry's client for the simulated store. */
 final class SimStorePort implements KeyValueStore {
 
     private static final long CALL_TIMEOUT_MILLIS = 1_000;
-    // What is large is waited for as long as it keeps arriving, and no longer than this.
+    // A large answer may take this long as long as it keeps arriving.
     private static final long TRANSFER_TIMEOUT_MILLIS = 10_000;
-    // Where links have a rate, as on the platform: what a renewal without answer tells is that the store is away.
+    // Used with limited links, as on the platform: a lease renewal without an answer shows early that the store is
+    // unreachable.
     private static final long RENEWAL_TIMEOUT_MILLIS = 500;
 
     private final VirtualTime time;
@@ -50,7 +51,7 @@
     private final String hall;
     private final Link up;
     private final Link down;
-    /** Calls whose answers are on their way back. */
+    /** Calls whose answers are being transferred back. */
     private final Set<CompletableFuture<?>> answersInTransit = new HashSet<>();
 
     SimStorePort(World world, String entry, String hall, Link up, Link down) {
@@ -115,7 +116,6 @@
                         List.of()));
     }
 
-    /** Returns the commit without its conditions and writes of quota allocations. */
     private static StoreCommit withoutQuotas(StoreCommit c) {
         return new StoreCommit(
                 c.conditions().stream()
@@ -133,8 +133,13 @@
     }
 
     /**
-     * What a call is on the way: whether it writes, its bytes, those of its answer, how long is waited for the answer to
-     * begin, and how long for its end.
+     * The properties of a call on the network.
+     *
+     * @param write whether it modifies the store
+     * @param bytes the size of the request
+     * @param answerBytes computes the size of the answer
+     * @param timeoutMillis how long to wait until the answer begins to arrive
+     * @param transferTimeoutMillis how long to wait until the answer has arrived completely
      */
     private record Call<T>(
             boolean write, long bytes, ToLongFunction<T> answerBytes, long timeoutMillis, long transferTimeoutMillis) {
@@ -188,7 +193,10 @@
         }
     }
 
-    /** Gives a call up when its answer has not begun to arrive by then, or has not ended by a later moment. */
+    /**
+     * Fails a call whose answer has not begun to arrive by the first timeout, or has not arrived completely by the
+     * second.
+     */
     private <T> void scheduleTimeout(
             CompletableFuture<T> future,
             long timeoutMillis,
@@ -259,14 +267,16 @@
         }
     }
 
-    /** Over a link with a rate, an answer with changes may be on its way by now: then there is no second one. */
+    /**
+     * Ends a watch without changes, unless an answer with changes is already being transferred over a limited link.
+     */
     private void answerEmpty(CompletableFuture<StoreChanges> future, long after) {
         if (!down.isLimited() || !answersInTransit.contains(future)) {
             answer(future, new StoreChanges(List.of(), after));
         }
     }
 
-    /** A watch that is under way as a cut begins says nothing more. */
+    /** Answers a watch. A watch that was open when the entry lost contact gets no answer. */
     private void answer(CompletableFuture<StoreChanges> future, StoreChanges c) {
         if (net.faultToStore(entry, hall, false) == CallFault.NONE) {
             answersInTransit.add(future);
--- a/model/src/main/java/org/lupinpaddle/model/SimWorker.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorker.java
@@ -38,7 +38,10 @@
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
 
-/** One life of a worker: keeps what runs until its deadline, on a clock of its own, and lists what has ended. */
+/**
+ * One incarnation of a worker. It runs tasks until the lease on its own clock expires, and reports the ends of runs
+ * until they are acknowledged.
+ */
 final class SimWorker {
 
     static final long MAX_HOLD_MILLIS = 10_000;
@@ -106,7 +109,7 @@
         return facts.id();
     }
 
-    /** Returns which life this is: the id alone may be that of several. */
+    /** Returns a key for this incarnation; several incarnations may share a worker id. */
     String incarnationId() {
         return facts.id() + "@" + facts.bornMillis();
     }
@@ -153,13 +156,13 @@
                 facts.labels());
     }
 
-    /** It crashes, which nobody ordered. */
+    /** Simulates a crash that no order caused. */
     void crashUnexpectedly() {
         running.keySet().forEach(key -> rules.onWorkerCrash(key.job, key.task));
         crash();
     }
 
-    /** Everything that runs dies with the worker. */
+    /** Stops the worker together with all its runs. */
     void crash() {
         up = false;
         running.forEach((key, r) -> {
@@ -169,7 +172,7 @@
         running.clear();
     }
 
-    /** An order takes the worker away. */
+    /** Stops the worker because of an order. */
     void removeByOrder(String order) {
         removedAt = time.now();
         leaseLapsedAtRemoval = clock() >= leaseDeadline;
@@ -285,7 +288,8 @@
     private void extendLease(long deadlineMillis) {
         long maxDeadline = clock() + MAX_HOLD_MILLIS;
         if (clock() >= leaseDeadline) {
-            // Also with nothing running: what the worker was held for is over.
+            // Counts a lapse even if nothing runs, because the worker may then forget the ends that it holds under the
+            // lease.
             leaseLapses++;
         }
         leaseDeadline = Math.max(leaseDeadline, Math.min(deadlineMillis, maxDeadline));
@@ -299,7 +303,7 @@
         }
     }
 
-    /** Answers a hold at once, or when something ends, or when its time is up. */
+    /** Answers a hold immediately if runs have ended; otherwise when a run ends or the wait time is over. */
     void hold(HoldOrder o, long orderFence, Consumer<HoldAnswer> answer, Runnable fenced) {
         if (orderFence < fence) {
             fenced.run();
@@ -332,7 +336,10 @@
         }
     }
 
-    /** Returns whether an end can still be learnt here, or could before an order took the worker away. */
+    /**
+     * Returns whether an owner can still learn of a completed run from this worker, or could have before an order
+     * stopped the worker.
+     */
     boolean retains(CompletedRun e) {
         boolean held = leaseLapses == e.leaseLapsesBefore;
         if (up) {
@@ -341,7 +348,7 @@
         return held && removedAt != World.NEVER && !leaseLapsedAtRemoval && e.wasReportedBefore(removedAt);
     }
 
-    /** Returns whether it has answered an owner's poll for so long. */
+    /** Returns whether its first answer to a hold was at least this long ago. */
     boolean hasAnsweredFor(long millis) {
         return time.now() - firstAnswerAt >= millis;
     }
@@ -356,7 +363,7 @@
                 ends.stream().map(EndedRun::report).toList());
     }
 
-    /** Returns the runs as an answer to a hold shows them. */
+    /** Returns the active runs in the form of an answer to a hold. */
     List<RunningReport> runningReports() {
         List<RunningReport> all = new ArrayList<>();
         running.forEach((key, r) -> all.add(new RunningReport(key.job, key.task, r.run, "", percent(r), -1)));
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkerPort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkerPort.java
@@ -26,13 +26,13 @@
 import org.lupinpaddle.daemon.port.HoldResult;
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
-/** One entry's way to the workers. */
+/** An entry's client for the workers. */
 final class SimWorkerPort implements WorkerOrders {
 
     private static final long CALL_TIMEOUT_MILLIS = 500;
-    // Until a life has answered for so long, nobody could have told it to refuse an order that was meant for an earlier
-    // one:
-    // such an order is left out, since no owner can keep the rules with it.
+    // A worker that has restarted under its id cannot refuse an order to its predecessor before an owner has reached it
+    // and closed the earlier runs. A late order that arrives earlier is dropped, because no owner could keep the rules
+    // with it.
     private static final long REFUSABLE_AFTER_MILLIS = 1_000;
 
     private final World world;
@@ -40,7 +40,12 @@
     private final Link out;
     private final Link in;
 
-    /** How an order is carried out: under which fence, and whether seconds after its caller has stopped waiting. */
+    /**
+     * How an order is executed.
+     *
+     * @param fence the fencing token of the owner
+     * @param late whether it takes effect seconds after the caller's timeout
+     */
     private record Execution(long fence, boolean late) {}
 
     SimWorkerPort(World world, String hall, Link out, Link in) {
@@ -82,7 +87,7 @@
 
     @Override
     public CompletableFuture<OrderOutcome> pace(PaceOrder o, long fence) {
-        // The model has no tasks that disturb one another: what is paced works on.
+        // Simulated tasks do not interfere with each other, so pacing has no effect.
         return order(o.worker(), WireBytes.OVERHEAD_BYTES, (w, c) -> OrderOutcome.ACCEPTED, fence);
     }
 
@@ -91,7 +96,7 @@
         CompletableFuture<OrderOutcome> future = new CompletableFuture<>();
         SimWorker w = world.fleet.workerAt(to.address());
         if (w == null) {
-            // Whoever is down keeps silent here; a port that refuses is the easier case.
+            // A worker that is down does not answer here; a refused connection is the easier case.
             world.time.schedule(CALL_TIMEOUT_MILLIS, () -> future.complete(OrderOutcome.UNKNOWN));
             return future;
         }
@@ -120,7 +125,8 @@
             });
         } else if (fault == CallFault.LATE) {
             world.net.deliver(world.net.lateDelay(), () -> {
-                // Whoever lives at the address by then: a worker that has restarted under its id takes it for its own.
+                // The order reaches the worker that has the address by then; a worker that has restarted under its id
+                // takes the order for its own.
                 SimWorker current = world.fleet.workerAt(to.address());
                 if (current != null && (current == w || current.hasAnsweredFor(REFUSABLE_AFTER_MILLIS))) {
                     execute(current, to, action, new Execution(fence, true));
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
@@ -133,7 +133,7 @@
         return w;
     }
 
-    /** Returns the name of the workspace that a caller belongs to. */
+    /** Returns the name of the caller's workspace. */
     String nameOf(int caller) {
         return workspaceOf(caller).name;
     }
--- a/model/src/main/java/org/lupinpaddle/model/Site.java
+++ b/model/src/main/java/org/lupinpaddle/model/Site.java
@@ -20,16 +20,16 @@
 import org.lupinpaddle.core.placement.Room;
 
 /**
- * What a world consists of.
+ * The size and layout of a simulated site.
  *
  * @param services the services whose workers run jobs
- * @param halls where entries and machines stand, by turns
- * @param racks how many racks a hall has
- * @param entryKinds what entries there are
- * @param workers how many machines work for services, by turns
- * @param spares how many machines are off
- * @param room what a machine has
- * @param textBytes how long the text is that a caller gives with a job
+ * @param halls the data halls; entries and instances are assigned to them in rotation
+ * @param racks the number of racks in each hall
+ * @param entryKinds the groups of entries
+ * @param workers the number of instances that serve services, assigned in rotation
+ * @param spares the number of instances in the spare pool
+ * @param room the resources of an instance
+ * @param textBytes the length of the text that a caller submits with a job
  */
 record Site(
         List<String> services,
@@ -41,7 +41,7 @@
         Room room,
         int textBytes) {
 
-    /** The site of the seeded histories: small, so that thousands of them can be run. */
+    /** The site of the seeded histories; small, so that thousands of them can run. */
     static final Site SMALL = new Site(
             List.of("clips", "archive"),
             List.of("north", "south", "west"),
@@ -52,8 +52,7 @@
             new Room(8_000, 16_000, 0),
             0);
 
-    /** Returns a site of 247 instances in four halls, with texts of this length and this rate of the
-     * entries' links. */
+    /** Returns a site with 247 instances in four halls, with the given job text length and entry link bandwidth. */
     static Site large(int textBytes, long linkBytesPerMilli) {
         return new Site(
                 List.of("news", "archive", "promo", "partner"),
@@ -66,7 +65,10 @@
                 textBytes);
     }
 
-    /** Returns a site of 306 instances in six halls, with entries of two kinds: 0.75 fast cores at 200 Mbit/s, 0.36 at 20. */
+    /**
+     * Returns a site with 306 instances in six halls and two kinds of entries: 18 with 1.5 cores at 200 Mbit/s and 29
+     * with 0.36 cores at 20 Mbit/s.
+     */
     static Site withTwoEntryKinds(int textBytes) {
         return new Site(
                 List.of("news", "archive", "promo", "partner"),
@@ -79,7 +81,7 @@
                 textBytes);
     }
 
-    /** Returns a site whose one service has 250 workers, behind entries with the thinnest of links. */
+    /** Returns a site with a single service of 250 workers and few entries, which have the given link bandwidth. */
     static Site oneLargeService(int textBytes, long linkBytesPerMilli) {
         return new Site(
                 List.of("news"),
--- a/model/src/main/java/org/lupinpaddle/model/VirtualLoop.java
+++ b/model/src/main/java/org/lupinpaddle/model/VirtualLoop.java
@@ -20,7 +20,7 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.daemon.common.EventLoop;
 
-/** The event loop of one life of an entry. While it is frozen its steps wait; once dead it runs none. */
+/** The event loop of one process of an entry. While frozen it queues its tasks; once closed it discards them. */
 final class VirtualLoop implements EventLoop {
 
     private final VirtualTime time;
--- a/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
+++ b/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
@@ -17,7 +17,10 @@
 
 import java.util.PriorityQueue;
 
-/** Time that passes only when nothing is left to be done: steps run in the order of their moments. */
+/**
+ * A discrete-event scheduler: time advances directly to the next scheduled action. Actions run in order of their time,
+ * and in order of scheduling at the same time.
+ */
 final class VirtualTime {
 
     private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
@@ -37,12 +40,12 @@
         return now;
     }
 
-    /** Runs a step so many milliseconds from now. */
+    /** Schedules an action a number of milliseconds from now. */
     void schedule(long millis, Runnable action) {
         queue.add(new ScheduledAction(now + Math.max(0, millis), sequence++, action));
     }
 
-    /** Lets time pass up to a moment. */
+    /** Runs all actions up to a time and sets the clock to it. */
     void runUntil(long end) {
         while (!queue.isEmpty() && queue.peek().atMillis <= end) {
             ScheduledAction next = queue.poll();
--- a/model/src/main/java/org/lupinpaddle/model/WireBytes.java
+++ b/model/src/main/java/org/lupinpaddle/model/WireBytes.java
@@ -25,17 +25,17 @@
 import org.lupinpaddle.daemon.port.StoreCommit;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** How many bytes the store's calls and answers have on the way. */
+/** Estimates the size of calls and answers on the network. */
 final class WireBytes {
 
-    /** What a call or an answer has besides its items: the lines of HTTP and of the channel below. */
+    /** The size of a message without its items: the HTTP headers and the framing of the layers below. */
     static final long OVERHEAD_BYTES = 250;
 
-    // An item's member names, two revisions and its lease.
+    // The JSON member names, the two revisions and the lease of an item.
     private static final long ITEM_BYTES = 75;
-    // An instance with its room and its labels.
+    // An instance with its resources and labels.
     private static final long INSTANCE_BYTES = 220;
-    // A run as an order or an answer names it.
+    // A run in an order or an answer.
     private static final long RUN_BYTES = 45;
     private static final long BASE64_GROUP_BYTES = 3;
     private static final long BASE64_GROUP_CHARS = 4;
--- a/model/src/main/java/org/lupinpaddle/model/WorkBound.java
+++ b/model/src/main/java/org/lupinpaddle/model/WorkBound.java
@@ -18,9 +18,10 @@
 import java.util.List;
 
 /**
- * An upper bound of the work that can be done in time, for a planner that knows all work in advance. Work may be cut
- * into any parts and done on any instance, and no instance takes time to change its pool: no real planner can do more.
- * What the product does in time is held against it, to tell what nobody could have served from what was decided wrongly.
+ * Computes an upper bound on the work that can be finished by its deadlines, for a scheduler that knows all work in
+ * advance. Work may be split arbitrarily and run on any instance, and moving an instance between pools takes no time,
+ * so no real scheduler can do more. Comparing the product's result with this bound separates work that nobody could
+ * have finished in time from work that was scheduled badly.
  */
 final class WorkBound {
 
@@ -28,28 +29,31 @@
     private final long[] cpuBySlot;
 
     /**
-     * A piece of work, such as a step of a job.
+     * An item of work, such as a step of a job.
      *
-     * @param fromMillis when it can begin at the earliest, with all that goes before it done at once
-     * @param untilMillis by when it must be over, for all that follows it to end in time
-     * @param mostCpu how many thousandths of a core its tasks take together
-     * @param cpuMillis how much it is, in thousandths of a core x milliseconds
+     * @param earliestStartMillis the earliest start, if everything before it finishes immediately
+     * @param deadlineMillis the latest end that still lets everything after it end in time
+     * @param maxCpu the CPU that all its tasks use together, in thousandths of a core
+     * @param cpuMillis the amount of work, in thousandths of a core x milliseconds
      */
     record Work(long earliestStartMillis, long deadlineMillis, long maxCpu, long cpuMillis) {
 
-        /** Returns how much of it can be done between two moments. */
+        /** Returns how much of this work can be done between two times. */
         long maxCpuMillisBetween(long begin, long end) {
             return maxCpu * Math.max(0, Math.min(end, deadlineMillis) - Math.max(begin, earliestStartMillis));
         }
     }
 
-    /** Makes the bound of a fleet that has so many thousandths of a core in each slot of time, the first from 0. */
+    /**
+     * Creates the bound for a fleet with the given CPU, in thousandths of a core, in each time slot; the first slot
+     * starts at 0.
+     */
     WorkBound(long slotMillis, long[] cpuBySlot) {
         this.slotMillis = slotMillis;
         this.cpuBySlot = cpuBySlot.clone();
     }
 
-    /** Returns how much of the work can be done in time at most, in thousandths of a core x milliseconds. */
+    /** Returns the maximum amount of work that can be done in time, in thousandths of a core x milliseconds. */
     long maxCpuMillis(List<Work> items) {
         int slots = cpuBySlot.length;
         int sink = items.size() + slots + 1;
--- a/model/src/main/java/org/lupinpaddle/model/WorkerRestarts.java
+++ b/model/src/main/java/org/lupinpaddle/model/WorkerRestarts.java
@@ -19,9 +19,9 @@
 import java.util.Random;
 
 /**
- * Workers that crash and start again under their ids: one, a rack or all of a service; at once or after a while, once or twice in
- * a row, behind a cut, and while orders are carried out late. What it draws is its own, so that a seed means the same
- * history with and without it, up to the first restart.
+ * Adds workers that crash and restart under their ids: one worker, a rack or all workers of a service; with a short or
+ * long downtime, once or twice in a row, while unreachable or while orders arrive late. Uses its own random generator,
+ * so that a seed produces the same history with and without it up to the first restart.
  */
 final class WorkerRestarts {
 
@@ -37,7 +37,7 @@
     private final World world;
     private final Random random;
 
-    /** How many workers are hit. */
+    /** Which workers restart together. */
     private enum Scope {
         ONE {
             @Override
@@ -61,7 +61,7 @@
         abstract boolean covers(SimWorker target, SimWorker w);
     }
 
-    /** What is wrong with the way to the workers around the restart. */
+    /** The network condition of the workers around the restart. */
     private enum NetworkCondition {
         PLAIN,
         CUT,
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Returns whether a worker that crashes for another reason comes back under its id. */
+    /** Returns whether a worker that crashes for another reason returns under its id. */
     boolean keepsId() {
         return random.nextInt(4) != 0;
     }
--- a/model/src/main/java/org/lupinpaddle/model/World.java
+++ b/model/src/main/java/org/lupinpaddle/model/World.java
@@ -34,7 +34,7 @@
 import org.lupinpaddle.core.workspace.Workspaces;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** One history: a platform with its workers, entries and callers, made and driven by a seed. */
+/** One simulated history: a platform with its workers, entries and callers, driven by a seed. */
 public final class World {
 
     static final long NEVER = Long.MAX_VALUE / 2;
@@ -75,17 +75,17 @@
     private @Nullable WorkerRestarts restarts;
     private @Nullable SimWorkspaces workspaces;
 
-    /** Makes the world of a seed, with at most so many faults. */
+    /** Creates the world of a seed with at most the given number of faults. */
     public World(long seed, int maxFaults) {
         this(seed, maxFaults, Sabotage.NONE);
     }
 
-    /** Makes the world of a seed, without one of the entries' mechanisms. */
+    /** Creates the world of a seed with one production mechanism disabled. */
     World(long seed, int maxFaults, Sabotage sabotage) {
         this(seed, maxFaults, sabotage, Site.SMALL);
     }
 
-    /** Makes the world of a seed and a site, without faults of its own. */
+    /** Creates the world of a seed at the given site, without random faults. */
     World(long seed, Site site) {
         this(seed, 0, Sabotage.NONE, site);
     }
@@ -101,13 +101,13 @@
         faults = new FaultPlan(this, history, maxFaults);
     }
 
-    /** Lets another writer put entries that can not be read, from the beginning until the calm at the end. */
+    /** Adds a writer that puts malformed records into the store until the traffic ends. */
     World withCorruptRecords(long seed) {
         new CorruptRecordWriter(this, seed, TRAFFIC_START + TRAFFIC_MILLIS).start();
         return this;
     }
 
-    /** Lets callers hand in jobs with tasks that crash each worker that starts them, beside the others. */
+    /** Adds jobs with tasks that crash every worker that starts them. */
     World withCrashingTasks(long seed) {
         CrashingTasks tasks = new CrashingTasks(this, seed);
         crashingTasks = tasks;
@@ -115,7 +115,7 @@
         return this;
     }
 
-    /** Lets workers crash and start again under their ids, beside the other faults. */
+    /** Adds workers that crash and restart under their ids. */
     World withRestarts(long seed) {
         WorkerRestarts r = new WorkerRestarts(this, seed);
         restarts = r;
@@ -123,7 +123,7 @@
         return this;
     }
 
-    /** Adds workspaces whose keys and quotas change, in addition to the other faults. */
+    /** Adds workspaces whose keys and quotas change. */
     World withWorkspaces(long seed) {
         SimWorkspaces w = new SimWorkspaces(this, seed);
         workspaces = w;
@@ -137,7 +137,7 @@
         return Optional.ofNullable(workspaces);
     }
 
-    /** Returns how many jobs are said to have failed that could have been completed and crash no worker themselves. */
+    /** Returns how many jobs were reported as failed although they could have completed and do not crash workers. */
     int completableJobsGivenUp() {
         int n = 0;
         for (Rules.TrackedJob job : rules.jobs()) {
@@ -149,7 +149,7 @@
         return n;
     }
 
-    /** Returns how many workers were lost to tasks that crash them. */
+    /** Returns the number of workers that crashing tasks have crashed. */
     int workersLostToTasks() {
         return crashingTasks == null ? 0 : crashingTasks.workersLost();
     }
@@ -158,25 +158,29 @@
         return restarts != null && restarts.keepsId();
     }
 
-    /** Returns the tasks that crash their workers, if there are any in this history. */
+    /** Returns the crashing tasks, if this history has any. */
     Optional<CrashingTasks> crashingTasks() {
         return Optional.ofNullable(crashingTasks);
     }
 
-    /** Lets a history happen; throws a {@link RuleViolationException} at the first rule that is broken. */
+    /**
+     * Runs the whole history.
+     *
+     * @throws RuleViolationException at the first violated rule
+     */
     public void run() {
         setUpScenario();
         time.runUntil(TRAFFIC_START + TRAFFIC_MILLIS + SETTLE_MILLIS);
         checkFinalState();
     }
 
-    /** Lets only the first part of a history happen, up to a moment, and checks nothing at its end. */
+    /** Runs the history up to the given time and skips the final checks. */
     void runUntil(long untilMillis) {
         setUpScenario();
         time.runUntil(untilMillis);
     }
 
-    /** Lets demand come by turns, all entries lose power after so long of it, and holds what follows to the rule. */
+    /** Runs a rotating load during which all entries lose power, and checks that service recovers. */
     void runPowerLoss(long powerLossAfterMillis) {
         createSite();
         PowerLossRecovery r = new PowerLossRecovery(this, TRAFFIC_START + powerLossAfterMillis);
@@ -186,22 +190,21 @@
         r.check();
     }
 
-    /** Returns whom the store shows as the owner of a duty; empty for nobody. */
+    /** Returns the owner of a duty according to the store, or an empty string if it has none. */
     String owner(String duty) {
         return store.read(JobKeys.owner(duty)).map(StoreItem::value).orElse("");
     }
 
-    /** Returns the fence of a duty's owner; 0 for nobody. */
+    /** Returns the fencing token of a duty's owner, or 0 if it has none. */
     long fence(String duty) {
         return store.read(JobKeys.owner(duty)).map(StoreItem::revision).orElse(0L);
     }
 
-    /** Returns the entry with this name. */
     SimEntry entry(String name) {
         return entries.stream().filter(e -> e.name.equals(name)).findFirst().orElseThrow();
     }
 
-    /** Returns what has happened so far: faults, and what callers did. */
+    /** Returns the faults and caller actions so far, one per line. */
     public List<String> history() {
         return history.lines();
     }
@@ -235,7 +238,7 @@
         entries.forEach(e -> time.schedule(random.nextInt(300), e::start));
     }
 
-    /** Writes a configuration: the queues and services are the same, its version is new. */
+    /** Writes the configuration with a new version; its queues and services stay the same. */
     void writeConfiguration() {
         configurationVersion++;
         List<QueueConfig> queues = new ArrayList<>();
@@ -261,7 +264,7 @@
         }
     }
 
-    /** Returns a job to be handed in; its text says what it is. */
+    /** Returns a random job; its text says whether it always fails. */
     Submission submission(int number) {
         boolean longRunning = isLongRunning(number);
         StepSpec.Need need = new StepSpec.Need(500 + random.nextInt(2_000), 200, 0);
@@ -286,12 +289,11 @@
         return new Submission((alwaysFails ? "hopeless " : "job ") + number, steps, Repeat.ONCE);
     }
 
-    /** Returns whether the tasks of a caller's job are long-running. */
+    /** Returns whether a caller's job has long-running tasks. */
     boolean isLongRunning(int caller) {
         return caller < JOBS && caller % 6 == 0;
     }
 
-    /** Returns a job with a single step. */
     Submission singleStepJob(int number, StepSpec step) {
         return new Submission("job " + number, List.of(step), Repeat.ONCE);
     }
@@ -314,7 +316,7 @@
         return job == null ? null : job.step(task);
     }
 
-    /** Returns how long a task takes on a sound worker: between 300 and 2,300 ms, the same each time. */
+    /** Returns how long a task takes on a healthy worker: between 300 and 2,300 ms, and the same on each run. */
     static long taskMillis(Rules rules, String jobId, TaskId task) {
         return 300 + Math.floorMod((jobId + task).hashCode(), 2_000);
     }
@@ -348,13 +350,16 @@
         }
     }
 
-    /** What is given up after two workers have crashed under one of its tasks need not be done. */
+    /**
+     * Returns whether a job need not complete, because one of its tasks crashes workers or because it was given up
+     * after two workers crashed under one task.
+     */
     private boolean mayBeGivenUp(Rules.TrackedJob job) {
         boolean crashing = crashingTasks != null && crashingTasks.hasCrashingTasks(job.id);
         return crashing || (job.reportedFailed && job.maxWorkerCrashes() >= Rules.MIN_CRASHES_TO_GIVE_UP);
     }
 
-    /** Returns whether long-running tasks leave too little of the job's quota for the next of its tasks. */
+    /** Returns whether long-running tasks leave too little of the workspace's quota for the job's next tasks. */
     private boolean isBlockedByQuota(Rules.TrackedJob job) {
         if (workspaces == null || !workspaces.limits(job.workspace)) {
             return false;
@@ -364,8 +369,8 @@
     }
 
     /**
-     * Returns whether the instance runs a task of a step that misses as many others for good as its caller allows: they crash
-     * their workers, and to take away one more would break AVAIL.
+     * Returns whether the instance runs a task of a long-running job that has lost workers to crashes. Such a step may
+     * already miss as many tasks as its caller allows, and stopping another one would violate AVAIL.
      */
     private boolean isBlockedByCrashedTask(String instance) {
         return fleet.tasksOn(instance).stream().anyMatch(r -> {
--- a/model/src/main/java/org/lupinpaddle/model/package-info.java
+++ b/model/src/main/java/org/lupinpaddle/model/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A model of the platform, its workers and its callers on virtual time. The entries' real decisions run on it,
- * under seeded faults, and what workers, callers and operators see is held against the rules.
+ * A discrete-event simulation of the platform, its workers and its callers. It runs the entries' production code on
+ * virtual time under seeded faults and checks against a set of rules what workers, callers and operators observe.
  */
 @NullMarked
 package org.lupinpaddle.model;
--- a/model/src/test/java/org/lupinpaddle/model/CrashingTasksTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/CrashingTasksTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Callers hand in jobs of which some tasks crash each worker that starts them; owners change, halls are cut off, the store is
- * away. Seen in nearly every history: such a task is started on one worker after another until the end.
+ * Histories with tasks that crash every worker that starts them, among other faults. Guards against starting such a
+ * task on one worker after another without end, which happened in nearly every history.
  */
 class CrashingTasksTest {
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Each broke a rule once; docs/FINDINGS.md has the causes. */
+    /** Each seed once violated a rule; docs/FINDINGS.md describes the causes. */
     @Nested
     class RegressionSeeds {
 
--- a/model/src/test/java/org/lupinpaddle/model/LargeSiteTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/LargeSiteTest.java
@@ -27,18 +27,19 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Worlds as large as the largest that the product is made for. */
+/** Simulates sites of the largest size that the product supports. */
 class LargeSiteTest {
 
-    // Callers choose their text. With this one, the records of 500 jobs are a page of 0.95 MB: one may have 1 MB.
+    // Callers choose the text of a job. With this length, a page with the records of 500 jobs has 0.95 MB, close to the
+    // limit of 1 MB.
     private static final int TEXT_BYTES = 300;
     private static final long POWER_LOSS_AFTER_MILLIS = 41_000;
 
-    /** All entries lose power in the middle of the demand; 15 s after they are back, service is to be back. */
+    /** All entries lose power under load; service must recover within 15 s after their restart. */
     @Nested
     class PowerLoss {
 
-        // 7 and 140 Mbit/s: the thinnest and the best link that an entry may have.
+        // 7 and 140 Mbit/s: the lowest and the highest bandwidth that an entry may have.
         private static final long MIN_BYTES_PER_MILLI = 875;
         private static final long MAX_BYTES_PER_MILLI = 17_500;
 
@@ -57,7 +58,7 @@
             assertRecovers(Site.withTwoEntryKinds(TEXT_BYTES));
         }
 
-        /** An owner's first holds go out together, and their answers carry all that its workers run. */
+        /** A new owner sends its first holds to all workers at once, and their answers contain all active runs. */
         @Test
         void recoversWith250WorkersPerOwnerAtMinimumBandwidth() {
             assertRecovers(Site.oneLargeService(TEXT_BYTES, MIN_BYTES_PER_MILLI));
@@ -72,7 +73,7 @@
             }
         }
 
-        /** Thousands of jobs are handed in: what became of each says little, nor does each move of an instance. */
+        /** Omits the submissions and states of thousands of jobs and the orders on instances. */
         private static List<String> relevantLines(List<String> history) {
             return history.stream()
                     .filter(l -> !l.contains("submit ") && !l.contains("told ") && !l.contains("order "))
@@ -80,18 +81,21 @@
         }
     }
 
-    /** The store is away for longer than all leases last: every duty is free at the moment of its return. */
+    /** The store is unavailable for longer than all leases last, so that every duty is free when it returns. */
     @Nested
     class StoreOutage {
 
         private static final long OUTAGE_START = 9_000;
         private static final long OUTAGE_MILLIS = 3_600;
-        // Not all entries find at the same moment that it is back.
+        // Entries do not all regain the store at the same moment.
         private static final int RECONNECT_SPREAD_MILLIS = 400;
         private static final long POLL_MILLIS = 10;
         private static final long OBSERVATION_MILLIS = 6_000;
 
-        /** Each owner reads all that its predecessors left, asks every worker, and starts nothing meanwhile. */
+        /**
+         * Guards against owners that lose their duties again while they read their predecessors' records and poll every
+         * worker.
+         */
         @Test
         void isFollowedByStableOwnership() {
             for (long seed = 1; seed <= 3; seed++) {
@@ -114,7 +118,7 @@
                     }
                 }
                 assertEquals(5, fences.size(), "seed " + seed + ": " + fences);
-                // One more than the first: a small entry may win a duty while the large ones come back.
+                // One change is allowed: a small entry may win a duty while the large ones reconnect.
                 assertTrue(fences.values().stream().allMatch(f -> f.size() <= 2), "seed " + seed + ": " + fences);
             }
         }
--- a/model/src/test/java/org/lupinpaddle/model/ModelTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/ModelTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** A short seeded run of the model, the seeds that once failed, and the proof that it can fail. */
+/** Runs a sample of seeded histories, the seeds that once failed, and checks that disabled mechanisms are detected. */
 class ModelTest {
 
     private static void assertRulesHold(long seed, int faults) {
@@ -106,20 +106,22 @@
                     .forEach(seed -> assertRulesHold(seed, 4, new World(seed, 4).withWorkspaces(seed)));
         }
 
-        /** Guards against placing by a maximum that was lowered while the store was out of reach. */
+        /** Guards against placing tasks by a quota that was lowered while the store was unreachable. */
         @Test
         void areNotExceededAfterStoreOutage() {
             assertRulesHold(7_520_990, 10, new World(7_520_990, 10).withWorkspaces(7_520_990));
         }
 
-        /** Guards against starting what was placed by a maximum that was lowered while the choice was written. */
+        /**
+         * Guards against starting tasks that were placed by a quota that was lowered while the placement was written.
+         */
         @Test
         void areNotExceededByEarlierPlacements() {
             World w = new World(8_802_090, 10).withRestarts(8_802_090).withWorkspaces(8_802_090);
             assertRulesHold(8_802_090, 10, w);
         }
 
-        /** Guards against counting a job as lost whose quota is held by long-running tasks. */
+        /** Guards against reporting a job as lost while long-running tasks hold its quota. */
         @Test
         void mayBeHeldByLongRunningTasks() {
             assertRulesHold(HELD_QUOTA_SEED, 10, world(Sabotage.NONE));
@@ -147,7 +149,10 @@
 
         private static final long SETTLE_MILLIS = 1_500;
 
-        /** All entries start within 0.3 s, as after a loss of power; one that wins all duties is slow with all. */
+        /**
+         * All entries start within 0.3 s, as after a power loss. An entry that won all duties would be slow at all of
+         * them.
+         */
         @Test
         void distributesDuties() {
             for (long seed = 0; seed < 20; seed++) {
@@ -182,7 +187,10 @@
         private static final long SETTLE_MILLIS = 4_000;
         private static final long TAKEOVER_LIMIT_MILLIS = 15_000;
 
-        /** Its lease is renewed, so nobody would follow it: it has to give the duty to another by itself. */
+        /**
+         * Guards against an owner that keeps renewing its lease although it cannot read its records; it has to release
+         * the duty itself.
+         */
         @Test
         void releasesItsDuty() {
             for (long seed = 0; seed < 10; seed++) {
@@ -206,7 +214,7 @@
         private static final long SETTLE_MILLIS = 4_000;
         private static final long END_MILLIS = 24_000;
 
-        /** What can be read nowhere is no reason to stop serving what is served. */
+        /** Guards against an entry that stops serving a duty because it cannot read the records of another one. */
         @Test
         void keepsItsOtherDuties() {
             for (long seed = 0; seed < 10; seed++) {
@@ -224,7 +232,7 @@
         }
     }
 
-    /** Each broke a rule once; docs/FINDINGS.md has the causes. */
+    /** Each seed once violated a rule; docs/FINDINGS.md describes the causes. */
     @Nested
     class RegressionSeeds {
 
--- a/model/src/test/java/org/lupinpaddle/model/WorkBoundTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/WorkBoundTest.java
@@ -31,14 +31,16 @@
     private static final long SLOT_MILLIS = 250;
     private static final long CORE = 1_000;
 
-    /** A fleet of so many cores for ten seconds. */
+    /** Returns the bound for a fleet with this many cores for ten seconds. */
     private static WorkBound cores(long cores) {
         long[] cpu = new long[40];
         Arrays.fill(cpu, cores * CORE);
         return new WorkBound(SLOT_MILLIS, cpu);
     }
 
-    /** So many core-seconds between two seconds, on as many cores at once as given. */
+    /**
+     * Returns an item of work with a time range in seconds, the cores that it can use at once, and its core-seconds.
+     */
     private static Work work(double from, double until, long cores, double coreSeconds) {
         return new Work(
                 (long) (from * 1_000), (long) (until * 1_000), cores * CORE, (long) (coreSeconds * CORE * 1_000));
@@ -93,7 +95,7 @@
     @Nested
     class Bound {
 
-        /** Serves whole slots by the earliest end, which is a plan: the bound must allow as much. */
+        /** Compares the bound with an earliest-deadline-first schedule, which it must never be below. */
         @Test
         void isNeverBelowAnActualSchedule() {
             for (long seed = 0; seed < 50; seed++) {
--- a/model/src/test/java/org/lupinpaddle/model/WorkerRestartsTest.java
+++ b/model/src/test/java/org/lupinpaddle/model/WorkerRestartsTest.java
@@ -33,13 +33,16 @@
         }
     }
 
-    /** An innocent job is given up: two of the three workers that it lost crashed behind a cut, after its runs had ended. */
+    /**
+     * With this seed a job that causes no crash was given up: two of the three workers that it lost had crashed while
+     * unreachable, after its runs had ended.
+     */
     private static final long SEED_WITH_JOB_GIVEN_UP = 76;
 
     @Nested
     class SeededHistories {
 
-        /** Guards against taking the results of a later life of a worker for those of an earlier one. */
+        /** Guards against attributing the results of a later incarnation of a worker to an earlier one. */
         @Test
         void satisfyRulesWithoutOtherFaults() {
             LongStream.range(0, 100)
@@ -55,7 +58,7 @@
             assertRulesHold(seed, 0, new World(seed, 0).withRestarts(seed));
         }
 
-        /** Guards against the same while owners change, halls are cut off and the store is away. */
+        /** Guards against the same faults while owners change, halls are cut off and the store is unavailable. */
         @Test
         void satisfyRulesUnderOtherFaults() {
             LongStream.range(0, 200)
@@ -63,7 +66,7 @@
                     .forEach(seed -> assertRulesHold(seed, 6, new World(seed, 6).withRestarts(seed)));
         }
 
-        /** Guards against tasks that are started without end since their workers come back under their ids. */
+        /** Guards against starting crashing tasks without end because their workers return under their ids. */
         @Test
         void satisfyRulesWithCrashingTasks() {
             LongStream.range(0, 100)
