--- a/standins/src/main/java/org/lupinpaddle/standins/InstanceList.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/InstanceList.java
@@ -31,12 +31,12 @@
  */
 final class InstanceList {
 
-    private static final long SILENT_MILLIS = 2_000;
-    private static final int SNAPSHOTS = 400;
+    private static final long LIVE_MILLIS = 2_000;
+    private static final int MAX_SNAPSHOTS = 400;
 
     private static final class Instance {
-        private ObjectNode said = JsonHttp.object();
-        private long saidAt;
+        private ObjectNode reported = JsonHttp.object();
+        private long reportedAt;
         private boolean leaving;
         private long fence;
     }
@@ -48,19 +48,20 @@
 
     void heartbeat(JsonNode node, long now) {
         Instance i = instances.computeIfAbsent(node.path("id").asText(), k -> new Instance());
-        i.said = (ObjectNode) node.deepCopy();
-        i.saidAt = now;
+        i.reported = (ObjectNode) node.deepCopy();
+        i.reportedAt = now;
     }
 
     void snapshot(long now) {
         ArrayNode list = JsonHttp.MAPPER.createArrayNode();
         for (Instance i : instances.values()) {
-            list.add(i.said.deepCopy()
-                    .put("live", now - i.saidAt < SILENT_MILLIS)
+            list.add(i.reported
+                    .deepCopy()
+                    .put("live", now - i.reportedAt < LIVE_MILLIS)
                     .put("leaving", i.leaving));
         }
         snapshots.addFirst(new Snapshot(now, list));
-        while (snapshots.size() > SNAPSHOTS) {
+        while (snapshots.size() > MAX_SNAPSHOTS) {
             snapshots.removeLast();
         }
     }
@@ -71,14 +72,14 @@
         int hallAt = query == null ? -1 : query.indexOf("hall=");
         String hall = hallAt < 0 || query == null ? "" : query.substring(hallAt + 5);
         ArrayNode empty = JsonHttp.MAPPER.createArrayNode();
-        ArrayNode old = snapshots.stream()
+        ArrayNode snapshot = snapshots.stream()
                 .filter(s -> now - s.at >= lagMillis)
                 .findFirst()
                 .map(Snapshot::list)
                 .orElse(empty);
         ObjectNode out = JsonHttp.object();
         ArrayNode list = out.putArray("instances");
-        for (JsonNode i : old) {
+        for (JsonNode i : snapshot) {
             boolean serves = i.path("live").asBoolean() && !i.path("leaving").asBoolean();
             if ((hall.isEmpty() || hall.equals(i.path("hall").asText())) && !(leavingOnly && serves)) {
                 list.add(i);
@@ -89,24 +90,25 @@
 
     /** Returns the worker's address, or null with {@code why} filled where the call is refused. */
     @Nullable
-    String accept(String id, JsonNode call, ObjectNode why) {
+    String checkOrder(String id, JsonNode call, ObjectNode error) {
         Instance i = instances.get(id);
         if (i == null) {
-            why.put("error", "no such instance");
+            error.put("error", "no such instance");
             return null;
         }
         long fence = call.path("fence").asLong();
         long incarnation = call.path("incarnation").asLong();
         if (fence < i.fence) {
-            why.put("error", "fence " + fence + " is older than " + i.fence);
+            error.put("error", "fence " + fence + " is older than " + i.fence);
             return null;
         }
-        if (incarnation != i.said.path("incarnation").asLong()) {
-            why.put("error", "incarnation is " + i.said.path("incarnation").asLong());
+        if (incarnation != i.reported.path("incarnation").asLong()) {
+            error.put(
+                    "error", "incarnation is " + i.reported.path("incarnation").asLong());
             return null;
         }
         i.fence = fence;
-        return i.said.path("address").asText();
+        return i.reported.path("address").asText();
     }
 
     void setLeaving(String id, boolean leaving) {
--- a/standins/src/main/java/org/lupinpaddle/standins/KeyValueStore.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/KeyValueStore.java
@@ -38,7 +38,7 @@
 
     private record Entry(String key, String value, long createRevision, long revision, long lease) {}
 
-    private record Lease(long id, long ttlMillis, long until) {}
+    private record Lease(long id, long ttlMillis, long expiresAt) {}
 
     private final NavigableMap<String, Entry> entries = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
@@ -69,25 +69,25 @@
     ObjectNode range(JsonNode call) {
         String from = text(call, "key");
         String to = call.hasNonNull("range_end") ? text(call, "range_end") : from + "\u0000";
-        long above = call.path("min_mod_revision").asLong(0);
+        long minRevision = call.path("min_mod_revision").asLong(0);
         ObjectNode out = header(JsonHttp.object());
         ArrayNode kvs = out.putArray("kvs");
         entries.subMap(from, true, to, false).values().stream()
-                .filter(e -> e.revision >= above)
+                .filter(e -> e.revision >= minRevision)
                 .forEach(e -> kvs.add(node(e)));
         out.put("count", Integer.toString(kvs.size()));
         return out;
     }
 
     ObjectNode txn(JsonNode call) {
-        boolean ok = true;
+        boolean succeeded = true;
         for (JsonNode c : call.path("compare")) {
             Entry e = entries.get(text(c, "key"));
-            ok &= (e == null ? 0 : e.revision) == c.path("mod_revision").asLong(0);
+            succeeded &= (e == null ? 0 : e.revision) == c.path("mod_revision").asLong(0);
         }
         ArrayNode responses = JsonHttp.MAPPER.createArrayNode();
         List<ObjectNode> events = new ArrayList<>();
-        for (JsonNode op : call.path(ok ? "success" : "failure")) {
+        for (JsonNode op : call.path(succeeded ? "success" : "failure")) {
             if (op.has("request_put")) {
                 events.add(put(op.get("request_put")));
                 responses.addObject().putObject("response_put");
@@ -102,7 +102,7 @@
             commit(events);
         }
         ObjectNode out = header(JsonHttp.object());
-        out.put("succeeded", ok);
+        out.put("succeeded", succeeded);
         out.set("responses", responses);
         return out;
     }
@@ -167,19 +167,19 @@
     }
 
     ObjectNode revoke(JsonNode call) {
-        drop(call.path("ID").asLong(0));
+        removeLease(call.path("ID").asLong(0));
         return header(JsonHttp.object());
     }
 
     void expireLeases(long now) {
         leases.values().stream()
-                .filter(l -> now >= l.until)
+                .filter(l -> now >= l.expiresAt)
                 .map(Lease::id)
                 .toList()
-                .forEach(this::drop);
+                .forEach(this::removeLease);
     }
 
-    private void drop(long lease) {
+    private void removeLease(long lease) {
         leases.remove(lease);
         List<ObjectNode> events = new ArrayList<>();
         for (Entry e : List.copyOf(entries.values())) {
--- a/standins/src/main/java/org/lupinpaddle/standins/LoopbackServer.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/LoopbackServer.java
@@ -28,34 +28,34 @@
 
     private static final String LOOPBACK = "127.0.0.1";
     // Watches that wait hold no thread; what blocks are the short calls of some dozens of entries.
-    private static final int MOST_THREADS = 64;
-    private static final int LEAST_THREADS = 4;
+    private static final int MAX_THREADS = 64;
+    private static final int MIN_THREADS = 4;
 
-    private final Server server = new Server(new QueuedThreadPool(MOST_THREADS, LEAST_THREADS));
+    private final Server server = new Server(new QueuedThreadPool(MAX_THREADS, MIN_THREADS));
     private final ServerConnector connector = new ServerConnector(server, 1, 1);
 
     /** What is done with a request; it sees to the answer. */
-    public interface Step {
+    public interface RequestHandler {
         /** Takes a request. */
-        void take(Request request, Response response, Callback callback) throws Exception;
+        void handle(Request request, Response response, Callback callback) throws Exception;
     }
 
     /** Makes a server for a port, or for one that the system chooses for 0; it does not listen yet. */
-    public LoopbackServer(int port, Step step) {
+    public LoopbackServer(int port, RequestHandler handler) {
         connector.setHost(LOOPBACK);
         connector.setPort(port);
         server.addConnector(connector);
         server.setHandler(new Handler.Abstract() {
             @Override
             public boolean handle(Request request, Response response, Callback callback) throws Exception {
-                step.take(request, response, callback);
+                handler.handle(request, response, callback);
                 return true;
             }
         });
     }
 
     /** Keeps connections open for as long as nothing passes over them; Jetty's own time is 30 s. */
-    public void keepIdle(long millis) {
+    public void setIdleTimeout(long millis) {
         connector.setIdleTimeout(millis);
     }
 
--- a/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
@@ -48,7 +48,7 @@
     private final LoopbackServer server;
     private final HttpClient client = new HttpClient();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-    private final KeyValueStore store = new KeyValueStore(this::tellWatchers);
+    private final KeyValueStore store = new KeyValueStore(this::notifyWatchers);
     private final InstanceList instances = new InstanceList();
     private final List<Watcher> watchers = new ArrayList<>();
     private volatile Faults faults = Faults.NONE;
@@ -56,7 +56,7 @@
 
     private PlatformStandIn(int port) {
         server = new LoopbackServer(port, this::route);
-        server.keepIdle(TimeUnit.HOURS.toMillis(1));
+        server.setIdleTimeout(TimeUnit.HOURS.toMillis(1));
     }
 
     /** Starts the stand-in on a port, or on one that the system chooses for 0. */
@@ -168,19 +168,19 @@
         watchers.add(w);
     }
 
-    private void tellWatchers(long revision, List<ObjectNode> events) {
+    private void notifyWatchers(long revision, List<ObjectNode> events) {
         if (faults.hang() || faults.down()) {
             return;
         }
         Iterator<Watcher> it = watchers.iterator();
         while (it.hasNext()) {
             Watcher w = it.next();
-            List<ObjectNode> its = events.stream()
+            List<ObjectNode> matching = events.stream()
                     .filter(e -> KeyValueStore.text(e.path("kv"), "key").startsWith(w.prefix))
                     .toList();
             try {
-                if (!its.isEmpty()) {
-                    writeEvents(w, revision, its);
+                if (!matching.isEmpty()) {
+                    writeEvents(w, revision, matching);
                 }
             } catch (IOException e) {
                 it.remove();
@@ -219,12 +219,13 @@
             }
             JsonHttp.answer(response, callback, OK, list);
         } else {
-            maintain(path.split("/"), body, response, callback);
+            handleMaintenance(path.split("/"), body, response, callback);
         }
     }
 
     // Paths are /instances/ID/drain, /instances/ID/undrain and /instances/ID/reboot.
-    private void maintain(String[] parts, JsonNode body, Response response, Callback callback) throws Exception {
+    private void handleMaintenance(String[] parts, JsonNode body, Response response, Callback callback)
+            throws Exception {
         ObjectNode out = JsonHttp.object();
         if (parts.length != 4) {
             JsonHttp.answer(response, callback, NOT_FOUND, out);
@@ -232,7 +233,7 @@
         }
         String address;
         synchronized (this) {
-            address = instances.accept(parts[2], body, out);
+            address = instances.checkOrder(parts[2], body, out);
             if (address != null) {
                 instances.setLeaving(parts[2], !parts[3].equals("undrain") && !parts[3].equals("reboot"));
             }
--- a/standins/src/main/java/org/lupinpaddle/standins/StandInMain.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/StandInMain.java
@@ -29,8 +29,8 @@
  */
 public final class StandInMain {
 
-    private static final int WORKER_WORDS = 7;
-    private static final int JOB_WORKER_WORDS = 6;
+    private static final int WORKER_ARGUMENTS = 7;
+    private static final int JOB_WORKER_ARGUMENTS = 6;
 
     private StandInMain() {}
 
@@ -39,7 +39,7 @@
         if (args.length >= 1 && args[0].equals("platform")) {
             PlatformStandIn platform = PlatformStandIn.start(args.length > 1 ? Integer.parseInt(args[1]) : 0);
             System.out.println("event=started address=" + platform.address());
-        } else if (args.length == WORKER_WORDS && args[0].equals("worker")) {
+        } else if (args.length == WORKER_ARGUMENTS && args[0].equals("worker")) {
             WorkerPlace place =
                     new WorkerPlace(args[1], args[2], args[3], Integer.parseInt(args[4]), Integer.parseInt(args[5]));
             WorkerStandIn worker = WorkerStandIn.start(place, args[6]);
@@ -47,7 +47,7 @@
         } else if (args.length >= 1 && args[0].equals("job-platform")) {
             JobPlatformStandIn platform = JobPlatformStandIn.start(args.length > 1 ? Integer.parseInt(args[1]) : 0);
             System.out.println("event=started address=" + platform.address());
-        } else if (args.length == JOB_WORKER_WORDS && args[0].equals("job-worker")) {
+        } else if (args.length == JOB_WORKER_ARGUMENTS && args[0].equals("job-worker")) {
             JobWorkerStandIn worker = JobWorkerStandIn.start(args[1], args[2], args[3], args[4], args[5]);
             System.out.println("event=started address=" + worker.address());
         } else {
--- a/standins/src/main/java/org/lupinpaddle/standins/WorkerStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/WorkerStandIn.java
@@ -50,11 +50,11 @@
     private static final int ERROR = 500;
     private static final int STOPPED = 409;
     private static final int UNAVAILABLE = 503;
-    private static final String REFUSED = "Worker-Refused";
+    private static final String REFUSED_HEADER = "Worker-Refused";
 
     private record Task(Response response, Callback callback, String answer) {}
 
-    private final WorkerPlace place;
+    private final WorkerPlace config;
     private final String platform;
     private final Server server;
     private final ServerConnector connector;
@@ -68,13 +68,13 @@
     private boolean failAll;
     private boolean stayDown;
     private boolean cutAnswers;
-    private long cutOff;
+    private long tasksCutOff;
     private long runs;
     private long taskNumber;
     private String lastTrace = "";
 
-    private WorkerStandIn(WorkerPlace place, String platform) {
-        this.place = place;
+    private WorkerStandIn(WorkerPlace config, String platform) {
+        this.config = config;
         this.platform = platform;
         server = new Server(new QueuedThreadPool(32, 4));
         connector = new ServerConnector(server, 1, 1);
@@ -90,8 +90,8 @@
     }
 
     /** Starts a worker that reports to the platform at this address. */
-    public static WorkerStandIn start(WorkerPlace place, String platform) throws Exception {
-        WorkerStandIn w = new WorkerStandIn(place, platform);
+    public static WorkerStandIn start(WorkerPlace config, String platform) throws Exception {
+        WorkerStandIn w = new WorkerStandIn(config, platform);
         w.client.start();
         w.server.start();
         w.connector.setPort(w.connector.getLocalPort());
@@ -119,10 +119,10 @@
             if (!up) {
                 return;
             }
-            node = status().put("hall", place.hall())
-                    .put("rack", place.rack())
+            node = status().put("hall", config.hall())
+                    .put("rack", config.rack())
                     .put("address", address())
-                    .put("memoryMb", place.memoryMb());
+                    .put("memoryMb", config.memoryMb());
         }
         client.newRequest("http://" + platform + "/instances")
                 .method("POST")
@@ -133,10 +133,10 @@
 
     private ObjectNode status() {
         return JsonHttp.object()
-                .put("id", place.id())
+                .put("id", config.id())
                 .put("incarnation", incarnation)
                 .put("running", running.size())
-                .put("slots", place.slots())
+                .put("slots", config.slots())
                 .put("leaving", leaving);
     }
 
@@ -161,11 +161,11 @@
         String id = request.getHeaders().get("Request-Id");
         String job = request.getHeaders().get("Job-Id");
         long millis = Math.max(0, request.getHeaders().getLongField("Run-Millis"));
-        String key;
+        String taskKey;
         synchronized (this) {
-            if (leaving || running.size() >= place.slots()) {
+            if (leaving || running.size() >= config.slots()) {
                 response.setStatus(UNAVAILABLE);
-                response.getHeaders().put(REFUSED, leaving ? "leaving" : "full");
+                response.getHeaders().put(REFUSED_HEADER, leaving ? "leaving" : "full");
                 callback.succeeded();
                 return;
             }
@@ -175,33 +175,33 @@
             if (job != null) {
                 runsByJob.merge(job, 1, Integer::sum);
             }
-            key = id == null ? "task-" + taskNumber++ : id;
-            running.put(key, new Task(response, callback, place.id() + ":" + body));
+            taskKey = id == null ? "task-" + taskNumber++ : id;
+            running.put(taskKey, new Task(response, callback, config.id() + ":" + body));
         }
         if (millis == 0) {
-            finish(key, OK);
+            finish(taskKey, OK);
         } else {
-            var unused = timer.schedule(() -> finish(key, OK), millis, TimeUnit.MILLISECONDS);
+            var unused = timer.schedule(() -> finish(taskKey, OK), millis, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void stopTask(String key) {
-        finish(key, STOPPED);
+    private void stopTask(String taskKey) {
+        finish(taskKey, STOPPED);
     }
 
-    private void finish(String key, int status) {
+    private void finish(String taskKey, int status) {
         Task task;
-        boolean fail;
-        boolean cut;
+        boolean failTask;
+        boolean truncate;
         synchronized (this) {
-            task = running.remove(key);
-            fail = failAll;
-            cut = cutAnswers;
+            task = running.remove(taskKey);
+            failTask = failAll;
+            truncate = cutAnswers;
         }
         if (task == null) {
             return;
         }
-        if (cut) {
+        if (truncate) {
             // Promises the whole answer and breaks off in the middle of it.
             task.response.getHeaders().put("Content-Length", task.answer.length());
             Content.Sink.write(
@@ -211,20 +211,20 @@
                     Callback.from(() -> task.callback.failed(new java.io.IOException("cut on purpose"))));
             return;
         }
-        task.response.setStatus(fail ? ERROR : status);
-        Content.Sink.write(task.response, true, fail ? "failed on purpose" : task.answer, task.callback);
+        task.response.setStatus(failTask ? ERROR : status);
+        Content.Sink.write(task.response, true, failTask ? "failed on purpose" : task.answer, task.callback);
     }
 
-    private void control(String verb, JsonNode body, Response response, Callback callback) {
+    private void control(String command, JsonNode body, Response response, Callback callback) {
         ObjectNode out = JsonHttp.object();
         synchronized (this) {
-            switch (verb) {
+            switch (command) {
                 case "drain" -> leaving = true;
                 case "undrain" -> leaving = false;
                 case "reboot" -> {
-                    cutOff += running.size();
+                    tasksCutOff += running.size();
                     up = false;
-                    var unused = timer.schedule(this::goDown, 20, TimeUnit.MILLISECONDS);
+                    var unused = timer.schedule(this::stopListening, 20, TimeUnit.MILLISECONDS);
                 }
                 case "behave" -> {
                     failAll = body.path("failAll").asBoolean();
@@ -232,7 +232,7 @@
                     cutAnswers = body.path("cutAnswers").asBoolean();
                 }
                 case "counts" -> {
-                    out.put("runs", runs).put("cutOff", cutOff).put("lastTrace", lastTrace);
+                    out.put("runs", runs).put("cutOff", tasksCutOff).put("lastTrace", lastTrace);
                     ObjectNode jobs = out.putObject("jobs");
                     runsByJob.forEach(jobs::put);
                 }
@@ -242,23 +242,23 @@
         JsonHttp.answer(response, callback, OK, out);
     }
 
-    private void goDown() {
+    private void stopListening() {
         try {
             connector.stop();
         } catch (Exception e) {
             System.err.println("event=stop-failed why=" + e);
         }
-        boolean comesBack;
+        boolean restarts;
         synchronized (this) {
             running.clear();
-            comesBack = !stayDown;
+            restarts = !stayDown;
         }
-        if (comesBack) {
-            var unused = timer.schedule(this::comeUp, REBOOT_MILLIS, TimeUnit.MILLISECONDS);
+        if (restarts) {
+            var unused = timer.schedule(this::resumeListening, REBOOT_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void comeUp() {
+    private void resumeListening() {
         try {
             connector.start();
             synchronized (this) {
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobPlatformStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobPlatformStandIn.java
@@ -54,7 +54,7 @@
     private final HttpClient client = new HttpClient();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final JobStore store = new JobStore(JobPlatformStandIn::now);
-    private final JobMachines machines;
+    private final JobInstances instances;
     private final List<Watcher> watchers = new ArrayList<>();
 
     private record Watcher(String prefix, long after, long endsAt, Response response, Callback callback) {}
@@ -77,7 +77,7 @@
     }
 
     private JobPlatformStandIn(int port) {
-        machines = new JobMachines(client, this::writeRecord);
+        instances = new JobInstances(client, this::writeRecord);
         server = new LoopbackServer(
                 port,
                 (request, response, callback) ->
@@ -104,56 +104,58 @@
 
     private synchronized void tick() {
         store.expireLeases();
-        machines.tick();
-        tellWatchers();
+        instances.tick();
+        notifyWatchers();
     }
 
-    private synchronized void route(Exchange x) {
-        String path = x.request.getHttpURI().getPath();
+    private synchronized void route(Exchange exchange) {
+        String path = exchange.request.getHttpURI().getPath();
         String last = path.substring(path.lastIndexOf('/') + 1);
         if (path.startsWith("/api/kv-keep/")) {
-            x.answer(store.keepLease(Long.parseLong(last)) ? OK : NOT_FOUND, JsonHttp.object());
+            exchange.answer(store.keepLease(Long.parseLong(last)) ? OK : NOT_FOUND, JsonHttp.object());
         } else if (path.startsWith("/api/kv-lease-end/")) {
-            x.answer(store.endLease(Long.parseLong(last)) ? OK : NOT_FOUND, JsonHttp.object());
+            exchange.answer(store.endLease(Long.parseLong(last)) ? OK : NOT_FOUND, JsonHttp.object());
         } else {
             switch (path) {
-                case "/api/kv-key" -> read(x);
-                case "/api/kv-range" -> x.answer(OK, store.range(x.query("pathPrefix")));
-                case "/api/kv-watch" -> watch(x);
-                case "/api/kv-txn" -> commit(x);
-                case "/api/kv-lease" -> openLease(x);
-                case "/api/machines" -> x.answer(OK, machines.list());
-                case "/api/machine-move", "/api/machine-upkeep" -> order(x, path.endsWith("upkeep"));
-                case "/api/advise" -> advise(x);
-                case "/standin/put" -> operatorPuts(x);
-                case "/standin/restart" -> restart(x);
-                case "/standin/machine" -> x.answer(OK, machines.register(x.body));
-                default -> x.answer(NOT_FOUND, JsonHttp.object());
+                case "/api/kv-key" -> read(exchange);
+                case "/api/kv-range" -> exchange.answer(OK, store.range(exchange.query("pathPrefix")));
+                case "/api/kv-watch" -> watch(exchange);
+                case "/api/kv-txn" -> commit(exchange);
+                case "/api/kv-lease" -> openLease(exchange);
+                case "/api/machines" -> exchange.answer(OK, instances.list());
+                case "/api/machine-move", "/api/machine-upkeep" -> order(exchange, path.endsWith("upkeep"));
+                case "/api/advise" -> advise(exchange);
+                case "/standin/put" -> putAsOperator(exchange);
+                case "/standin/restart" -> restart(exchange);
+                case "/standin/machine" -> exchange.answer(OK, instances.register(exchange.body));
+                default -> exchange.answer(NOT_FOUND, JsonHttp.object());
             }
         }
-        tellWatchers();
+        notifyWatchers();
     }
 
-    private void restart(Exchange x) {
-        machines.restart(x.body.path("machine").asText());
-        x.answer(OK, JsonHttp.object());
+    private void restart(Exchange exchange) {
+        instances.restart(exchange.body.path("machine").asText());
+        exchange.answer(OK, JsonHttp.object());
     }
 
-    private void read(Exchange x) {
-        ObjectNode item = store.read(x.query("privateKey"));
-        x.answer(item == null ? NOT_FOUND : OK, item == null ? JsonHttp.object().put("at", store.revision()) : item);
+    private void read(Exchange exchange) {
+        ObjectNode item = store.read(exchange.query("privateKey"));
+        exchange.answer(
+                item == null ? NOT_FOUND : OK, item == null ? JsonHttp.object().put("at", store.revision()) : item);
     }
 
-    private void watch(Exchange x) {
-        long endsAt = now() + x.number("waitMs");
-        watchers.add(new Watcher(x.query("pathPrefix"), x.number("after"), endsAt, x.response, x.callback));
+    private void watch(Exchange exchange) {
+        long endsAt = now() + exchange.number("waitMs");
+        watchers.add(new Watcher(
+                exchange.query("pathPrefix"), exchange.number("after"), endsAt, exchange.response, exchange.callback));
     }
 
-    private void tellWatchers() {
-        watchers.removeIf(answered());
+    private void notifyWatchers() {
+        watchers.removeIf(answerIfDue());
     }
 
-    private Predicate<Watcher> answered() {
+    private Predicate<Watcher> answerIfDue() {
         long now = now();
         return w -> {
             ArrayNode changes = store.changes(w.prefix, w.after);
@@ -171,27 +173,27 @@
         };
     }
 
-    private void commit(Exchange x) {
-        if (touchesOperators(x.body)) {
-            x.answer(FORBIDDEN, JsonHttp.object());
+    private void commit(Exchange exchange) {
+        if (writesReservedKeys(exchange.body)) {
+            exchange.answer(FORBIDDEN, JsonHttp.object());
             return;
         }
-        for (JsonNode p : x.body.path("put")) {
+        for (JsonNode p : exchange.body.path("put")) {
             if (!store.hasLease(p.path("lease").asLong())) {
-                x.answer(NOT_FOUND, JsonHttp.object());
+                exchange.answer(NOT_FOUND, JsonHttp.object());
                 return;
             }
         }
-        ObjectNode conflict = store.conflict(x.body.path("expectedRevision"));
+        ObjectNode conflict = store.conflict(exchange.body.path("expectedRevision"));
         if (conflict != null) {
-            x.answer(PRECONDITION_FAILED, conflict);
+            exchange.answer(PRECONDITION_FAILED, conflict);
             return;
         }
-        store.change(x.body.path("put"), x.body.path("remove"));
-        x.answer(OK, JsonHttp.object().put("revision", store.revision()));
+        store.change(exchange.body.path("put"), exchange.body.path("remove"));
+        exchange.answer(OK, JsonHttp.object().put("revision", store.revision()));
     }
 
-    private static boolean touchesOperators(JsonNode body) {
+    private static boolean writesReservedKeys(JsonNode body) {
         for (JsonNode p : body.path("put")) {
             String key = p.path("privateKey").asText();
             if (key.startsWith("op/") || key.startsWith("servers/")) {
@@ -201,39 +203,39 @@
         return false;
     }
 
-    private void openLease(Exchange x) {
-        long ttl = x.body.path("ttl_ms").asLong();
-        x.answer(OK, JsonHttp.object().put("lease", store.openLease(ttl)).put("ttl_ms", ttl));
+    private void openLease(Exchange exchange) {
+        long ttl = exchange.body.path("ttl_ms").asLong();
+        exchange.answer(OK, JsonHttp.object().put("lease", store.openLease(ttl)).put("ttl_ms", ttl));
     }
 
-    private void order(Exchange x, boolean upkeep) {
-        String refused = machines.order(x.body.path("machine").asText(), upkeep, x.body);
-        x.answer(
+    private void order(Exchange exchange, boolean upkeep) {
+        String refused = instances.order(exchange.body.path("machine").asText(), upkeep, exchange.body);
+        exchange.answer(
                 refused.isEmpty() ? OK : CONFLICT,
                 refused.isEmpty() ? JsonHttp.object() : JsonHttp.object().put("reason", refused));
     }
 
-    private static void advise(Exchange x) {
+    private static void advise(Exchange exchange) {
         ObjectNode answer = JsonHttp.object().put("valid_ms", TICKET_MILLIS);
-        ArrayNode good = answer.putArray("good");
-        x.body.path("workers").forEach(w -> good.addArray().add(w).add("ticket-" + w.asText()));
-        x.answer(OK, answer);
+        ArrayNode accepted = answer.putArray("good");
+        exchange.body.path("workers").forEach(w -> accepted.addArray().add(w).add("ticket-" + w.asText()));
+        exchange.answer(OK, answer);
     }
 
     /** Writes what operators write; with {@code coded} also a value that is no JSON, no text or not even base64. */
-    private void operatorPuts(Exchange x) {
-        String key = x.body.path("key").asText();
-        if (x.body.has("coded")) {
-            writeCoded(key, x.body.path("coded").asText());
+    private void putAsOperator(Exchange exchange) {
+        String key = exchange.body.path("key").asText();
+        if (exchange.body.has("coded")) {
+            writeEncoded(key, exchange.body.path("coded").asText());
         } else {
-            writeRecord(key, x.body.path("value").toString());
+            writeRecord(key, exchange.body.path("value").toString());
         }
-        x.answer(OK, JsonHttp.object().put("revision", store.revision()));
+        exchange.answer(OK, JsonHttp.object().put("revision", store.revision()));
     }
 
-    private void writeCoded(String key, String coded) {
+    private void writeEncoded(String key, String encoded) {
         ArrayNode puts = JsonHttp.array();
-        puts.addObject().put("privateKey", key).put("value", coded).put("lease", 0);
+        puts.addObject().put("privateKey", key).put("value", encoded).put("lease", 0);
         store.change(puts, JsonHttp.array());
     }
 
@@ -244,8 +246,8 @@
         if (value.isEmpty()) {
             removals.add(key);
         } else {
-            String coded = Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8));
-            puts.addObject().put("privateKey", key).put("value", coded).put("lease", 0);
+            String encoded = Base64.getEncoder().encodeToString(value.getBytes(StandardCharsets.UTF_8));
+            puts.addObject().put("privateKey", key).put("value", encoded).put("lease", 0);
         }
         store.change(puts, removals);
     }
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobStore.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobStore.java
@@ -30,24 +30,24 @@
 /** The platform's key-value store in memory: revisions, conditions, leases and a history for watches. */
 final class JobStore {
 
-    private static final int MOST_HISTORY = 20_000;
+    private static final int MAX_HISTORY = 20_000;
 
     private final TreeMap<String, Item> items = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final Deque<Change> history = new ArrayDeque<>();
-    private final LongSupplier millis;
+    private final LongSupplier clock;
     private long revision;
-    private long forgottenUpTo;
+    private long compactedUpTo;
     private long nextLease = 1;
 
-    private record Item(String key, String value, long revision, long made, long lease) {}
+    private record Item(String key, String value, long revision, long createRevision, long lease) {}
 
-    private record Lease(long ttl, long endsAt) {}
+    private record Lease(long ttl, long expiresAt) {}
 
-    private record Change(String key, long revision, JsonNode shown) {}
+    private record Change(String key, long revision, JsonNode json) {}
 
-    JobStore(LongSupplier millis) {
-        this.millis = millis;
+    JobStore(LongSupplier clock) {
+        this.clock = clock;
     }
 
     long revision() {
@@ -58,7 +58,7 @@
     @org.jspecify.annotations.Nullable
     ObjectNode read(String key) {
         Item i = items.get(key);
-        return i == null ? null : shown(i).put("at", revision);
+        return i == null ? null : json(i).put("at", revision);
     }
 
     ObjectNode range(String prefix) {
@@ -66,20 +66,20 @@
         ArrayNode all = answer.putArray("items");
         items.tailMap(prefix).values().stream()
                 .takeWhile(i -> i.key.startsWith(prefix))
-                .forEach(i -> all.add(shown(i)));
+                .forEach(i -> all.add(json(i)));
         return answer;
     }
 
     /** Returns the changes under a prefix after a revision; null when they are forgotten. */
     @org.jspecify.annotations.Nullable
     ArrayNode changes(String prefix, long after) {
-        if (after < forgottenUpTo) {
+        if (after < compactedUpTo) {
             return null;
         }
         ArrayNode all = JsonHttp.array();
         history.stream()
                 .filter(c -> c.revision > after && c.key.startsWith(prefix))
-                .forEach(c -> all.add(c.shown));
+                .forEach(c -> all.add(c.json));
         return all;
     }
 
@@ -94,7 +94,7 @@
             long at = i == null ? 0 : i.revision;
             holds &= at == c.path("revision").asLong();
             if (i != null) {
-                current.add(shown(i));
+                current.add(json(i));
             }
         }
         return holds ? null : answer;
@@ -118,43 +118,43 @@
 
     private void put(String key, String value, long lease) {
         Item before = items.get(key);
-        Item now = new Item(key, value, revision, before == null ? revision : before.made, lease);
+        Item now = new Item(key, value, revision, before == null ? revision : before.createRevision, lease);
         items.put(key, now);
-        remember(new Change(key, revision, shown(now)));
+        addToHistory(new Change(key, revision, json(now)));
     }
 
     private void remove(String key) {
         if (items.remove(key) != null) {
-            ObjectNode gone = JsonHttp.object()
+            ObjectNode removal = JsonHttp.object()
                     .put("privateKey", key)
                     .put("revision", revision)
                     .put("gone", true);
-            remember(new Change(key, revision, gone));
+            addToHistory(new Change(key, revision, removal));
         }
     }
 
-    private void remember(Change c) {
+    private void addToHistory(Change c) {
         history.addLast(c);
-        if (history.size() > MOST_HISTORY) {
-            forgottenUpTo = history.removeFirst().revision;
+        if (history.size() > MAX_HISTORY) {
+            compactedUpTo = history.removeFirst().revision;
         }
     }
 
     long openLease(long ttl) {
-        leases.put(nextLease, new Lease(ttl, millis.getAsLong() + ttl));
+        leases.put(nextLease, new Lease(ttl, clock.getAsLong() + ttl));
         return nextLease++;
     }
 
     boolean keepLease(long id) {
-        return leases.computeIfPresent(id, (i, l) -> new Lease(l.ttl, millis.getAsLong() + l.ttl)) != null;
+        return leases.computeIfPresent(id, (i, l) -> new Lease(l.ttl, clock.getAsLong() + l.ttl)) != null;
     }
 
     boolean endLease(long id) {
-        boolean known = leases.remove(id) != null;
-        if (known) {
-            removeOf(id);
+        boolean existed = leases.remove(id) != null;
+        if (existed) {
+            removeItemsOfLease(id);
         }
-        return known;
+        return existed;
     }
 
     /** Ends the leases whose time is over. */
@@ -162,14 +162,14 @@
         Iterator<Map.Entry<Long, Lease>> all = leases.entrySet().iterator();
         while (all.hasNext()) {
             Map.Entry<Long, Lease> e = all.next();
-            if (e.getValue().endsAt < millis.getAsLong()) {
+            if (e.getValue().expiresAt < clock.getAsLong()) {
                 all.remove();
-                removeOf(e.getKey());
+                removeItemsOfLease(e.getKey());
             }
         }
     }
 
-    private void removeOf(long lease) {
+    private void removeItemsOfLease(long lease) {
         revision++;
         items.values().stream()
                 .filter(i -> i.lease == lease)
@@ -178,12 +178,12 @@
                 .forEach(this::remove);
     }
 
-    private static ObjectNode shown(Item i) {
+    private static ObjectNode json(Item i) {
         return JsonHttp.object()
                 .put("privateKey", i.key)
                 .put("value", i.value)
                 .put("revision", i.revision)
-                .put("made", i.made)
+                .put("made", i.createRevision)
                 .put("lease", i.lease);
     }
 }
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerLife.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerIncarnation.java
@@ -33,41 +33,41 @@
  * task takes as long as its text says in {@code millis=N}, a second otherwise; with {@code lasts} in its text it runs
  * until it is stopped, with {@code fails} it fails.
  */
-final class JobWorkerLife {
+final class JobWorkerIncarnation {
 
     private static final Pattern MILLIS = Pattern.compile("millis=(\\d+)");
-    private static final long USUAL_MILLIS = 1_000;
+    private static final long DEFAULT_MILLIS = 1_000;
     private static final long WARM_UP_MILLIS = 500;
     private static final int ALL_PERCENT = 100;
 
     private final long bornMillis;
     private final LongSupplier clock;
     private final Map<String, Run> running = new TreeMap<>();
-    private final Map<String, Integer> closed = new HashMap<>();
+    private final Map<String, Integer> highestClosedRun = new HashMap<>();
     private final List<End> ends = new ArrayList<>();
     private long fence;
     private long deadline;
     private long nextEnd = 1;
 
-    private record Run(int number, String text, long begunAt) {
+    private record Run(int number, String text, long startedAt) {
         long millis() {
             Matcher m = MILLIS.matcher(text);
-            return m.find() ? Long.parseLong(m.group(1)) : USUAL_MILLIS;
+            return m.find() ? Long.parseLong(m.group(1)) : DEFAULT_MILLIS;
         }
 
-        boolean lasts() {
+        boolean isLongRunning() {
             return text.contains("lasts");
         }
 
         long percent(long now) {
-            long whole = lasts() ? WARM_UP_MILLIS : millis();
-            return Math.min(ALL_PERCENT, (now - begunAt) * ALL_PERCENT / Math.max(1, whole));
+            long duration = isLongRunning() ? WARM_UP_MILLIS : millis();
+            return Math.min(ALL_PERCENT, (now - startedAt) * ALL_PERCENT / Math.max(1, duration));
         }
     }
 
-    private record End(long number, String task, int run, String how) {}
+    private record End(long number, String task, int run, String kind) {}
 
-    JobWorkerLife(long bornMillis, LongSupplier clock) {
+    JobWorkerIncarnation(long bornMillis, LongSupplier clock) {
         this.bornMillis = bornMillis;
         this.clock = clock;
     }
@@ -78,21 +78,21 @@
 
     /** Returns why a start is refused, or nothing. */
     String start(JsonNode order) {
-        if (fenced(order)) {
+        if (isFenced(order)) {
             return "fence";
         }
-        long until = order.path("deadlineMs").asLong();
-        if (until < clock.getAsLong()) {
+        long orderDeadline = order.path("deadlineMs").asLong();
+        if (orderDeadline < clock.getAsLong()) {
             return "late";
         }
-        deadline = Math.max(deadline, until);
+        deadline = Math.max(deadline, orderDeadline);
         String task = order.path("task").asText();
         int run = order.path("run").asInt();
-        Run there = running.get(task);
-        if (there != null && there.number == run) {
+        Run current = running.get(task);
+        if (current != null && current.number == run) {
             return "";
         }
-        if (there != null || run <= closed.getOrDefault(task, 0)) {
+        if (current != null || run <= highestClosedRun.getOrDefault(task, 0)) {
             return "old";
         }
         running.put(task, new Run(run, order.path("spec").asText(), clock.getAsLong()));
@@ -101,33 +101,33 @@
 
     /** Returns why a stop is refused, or nothing. */
     String stop(JsonNode order) {
-        if (fenced(order)) {
+        if (isFenced(order)) {
             return "fence";
         }
         String task = order.path("task").asText();
         int run = order.path("run").asInt();
-        Run there = running.get(task);
-        if (there != null && there.number <= run) {
+        Run current = running.get(task);
+        if (current != null && current.number <= run) {
             end(task, "stopped");
         }
-        closed.merge(task, run, Math::max);
+        highestClosedRun.merge(task, run, Math::max);
         return "";
     }
 
     /** Returns why an order that needs only the fence is refused, or nothing. */
     String checkFence(JsonNode order) {
-        return fenced(order) ? "fence" : "";
+        return isFenced(order) ? "fence" : "";
     }
 
-    private boolean fenced(JsonNode order) {
-        long given = order.path("fencingToken").asLong();
-        boolean old = given < fence;
-        fence = Math.max(fence, given);
-        return old;
+    private boolean isFenced(JsonNode order) {
+        long token = order.path("fencingToken").asLong();
+        boolean outdated = token < fence;
+        fence = Math.max(fence, token);
+        return outdated;
     }
 
     /** Takes in a hold: its deadline, and which ends may be forgotten. */
-    void extend(JsonNode hold) {
+    void acceptHold(JsonNode hold) {
         deadline = Math.max(deadline, hold.path("deadlineMs").asLong());
         ends.removeIf(e -> e.number <= hold.path("lastSeen").asLong());
     }
@@ -137,7 +137,7 @@
     }
 
     /** Ends what is over by now: done, failed, or past its deadline. */
-    void pass() {
+    void endDueRuns() {
         long now = clock.getAsLong();
         for (Map.Entry<String, Run> e : List.copyOf(running.entrySet())) {
             Run r = e.getValue();
@@ -145,21 +145,21 @@
                 end(e.getKey(), "lapsed");
             } else if (r.text.contains("fails")) {
                 end(e.getKey(), "failed");
-            } else if (!r.lasts() && now - r.begunAt >= r.millis()) {
+            } else if (!r.isLongRunning() && now - r.startedAt >= r.millis()) {
                 end(e.getKey(), "done");
             }
         }
     }
 
-    private void end(String task, String how) {
+    private void end(String task, String kind) {
         Run r = running.remove(task);
         if (r != null) {
-            closed.merge(task, r.number, Math::max);
-            ends.add(new End(nextEnd++, task, r.number, how));
+            highestClosedRun.merge(task, r.number, Math::max);
+            ends.add(new End(nextEnd++, task, r.number, kind));
         }
     }
 
-    ObjectNode shown() {
+    ObjectNode holdAnswer() {
         long now = clock.getAsLong();
         ObjectNode answer = JsonHttp.object().put("born", bornMillis).put("clockMs", now);
         ArrayNode all = answer.putArray("running");
@@ -169,9 +169,13 @@
                 .add("")
                 .add(r.percent(now))
                 .add(0));
-        ArrayNode over = answer.putArray("finished");
-        ends.forEach(e ->
-                over.addArray().add(e.number).add(e.task).add(e.run).add(e.how).add(""));
+        ArrayNode finished = answer.putArray("finished");
+        ends.forEach(e -> finished.addArray()
+                .add(e.number)
+                .add(e.task)
+                .add(e.run)
+                .add(e.kind)
+                .add(""));
         return answer;
     }
 }
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerStandIn.java
@@ -51,22 +51,23 @@
     private final HttpClient client = new HttpClient();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
     private final String platform;
-    private final ObjectNode described;
-    private final List<Waiting> holds = new ArrayList<>();
-    private String lifeId = "";
-    private @Nullable JobWorkerLife life;
+    private final ObjectNode description;
+    private final List<PendingHold> holds = new ArrayList<>();
+    private String incarnationId = "";
+    private @Nullable JobWorkerIncarnation incarnation;
 
-    private record Waiting(long endsAt, Response response, Callback callback) {}
+    private record PendingHold(long endsAt, Response response, Callback callback) {}
 
     private JobWorkerStandIn(String machine, String pool, String hall, String rack, String platform) {
         this.platform = platform;
-        described = JsonHttp.object().put("machine", machine).put("pool", pool).put("zone", hall);
-        described
+        description =
+                JsonHttp.object().put("machine", machine).put("pool", pool).put("zone", hall);
+        description
                 .putObject("room")
                 .put("cpu", CPU_MILLIS)
                 .put("memMb", MEMORY_MB)
                 .put("gpu", 0);
-        described.putArray("labels").add("usual").add(rack);
+        description.putArray("labels").add("usual").add(rack);
         connector.setHost("127.0.0.1");
         server.addConnector(connector);
         server.setHandler(new Handler.Abstract() {
@@ -84,7 +85,7 @@
         JobWorkerStandIn w = new JobWorkerStandIn(machine, pool, hall, rack, platform);
         w.server.start();
         w.client.start();
-        w.described.put("address", w.address());
+        w.description.put("address", w.address());
         var report = w.timer.scheduleWithFixedDelay(w::report, 0, REPORT_MILLIS, TimeUnit.MILLISECONDS);
         var tick = w.timer.scheduleWithFixedDelay(w::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
         return w;
@@ -102,13 +103,13 @@
     private void report() {
         ObjectNode body;
         synchronized (this) {
-            body = described.deepCopy().put("life", lifeId);
+            body = description.deepCopy().put("life", incarnationId);
         }
         try {
             var answer = client.POST("http://" + platform + "/standin/machine")
                     .body(new StringRequestContent("application/json", body.toString()))
                     .send();
-            lead(JsonHttp.MAPPER.readTree(answer.getContentAsString()));
+            adopt(JsonHttp.MAPPER.readTree(answer.getContentAsString()));
         } catch (Exception e) {
             // The platform is away; the worker goes on, and reports again in a moment.
             System.out.println("event=report-failed why=\"" + e + "\"");
@@ -116,30 +117,30 @@
     }
 
     /** Leads the life that the platform names; another birth under the same id is another life. */
-    private synchronized void lead(JsonNode told) {
-        String id = told.path("life").asText();
-        long born = told.path("born").asLong();
-        boolean same = id.equals(lifeId) && (life == null || life.bornMillis() == born);
-        if (!same) {
-            lifeId = id;
-            life = id.isEmpty() ? null : new JobWorkerLife(born, JobWorkerStandIn::now);
+    private synchronized void adopt(JsonNode assignment) {
+        String id = assignment.path("life").asText();
+        long born = assignment.path("born").asLong();
+        boolean unchanged = id.equals(incarnationId) && (incarnation == null || incarnation.bornMillis() == born);
+        if (!unchanged) {
+            incarnationId = id;
+            incarnation = id.isEmpty() ? null : new JobWorkerIncarnation(born, JobWorkerStandIn::now);
             System.out.println("event=life id=" + id + " born=" + born);
         }
     }
 
     private synchronized void tick() {
-        JobWorkerLife l = life;
-        if (l != null) {
-            l.pass();
+        JobWorkerIncarnation current = incarnation;
+        if (current != null) {
+            current.endDueRuns();
         }
         holds.removeIf(h -> {
-            boolean due = l == null || l.hasEnds() || now() >= h.endsAt;
+            boolean due = current == null || current.hasEnds() || now() >= h.endsAt;
             if (due) {
                 JsonHttp.answer(
                         h.response,
                         h.callback,
-                        l == null ? MISDIRECTED : OK,
-                        l == null ? JsonHttp.object() : l.shown());
+                        current == null ? MISDIRECTED : OK,
+                        current == null ? JsonHttp.object() : current.holdAnswer());
             }
             return due;
         });
@@ -148,36 +149,36 @@
     private synchronized void route(Request request, JsonNode body, Response response, Callback callback) {
         String path = request.getHttpURI().getPath();
         if (path.equals("/standin/life")) {
-            lead(body);
+            adopt(body);
             JsonHttp.answer(response, callback, OK, JsonHttp.object());
             return;
         }
-        JobWorkerLife l = life;
-        if (l == null || !lifeId.equals(request.getHeaders().get("Expect-Instance"))) {
+        JobWorkerIncarnation current = incarnation;
+        if (current == null || !incarnationId.equals(request.getHeaders().get("Expect-Instance"))) {
             JsonHttp.answer(response, callback, MISDIRECTED, JsonHttp.object());
             return;
         }
-        l.pass();
+        current.endDueRuns();
         switch (path) {
-            case "/api/run-start" -> answer(response, callback, l.start(body));
-            case "/api/run-stop" -> answer(response, callback, l.stop(body));
-            case "/api/pace" -> answer(response, callback, l.checkFence(body));
-            case "/api/hold" -> hold(l, body, response, callback);
+            case "/api/run-start" -> answer(response, callback, current.start(body));
+            case "/api/run-stop" -> answer(response, callback, current.stop(body));
+            case "/api/pace" -> answer(response, callback, current.checkFence(body));
+            case "/api/hold" -> hold(current, body, response, callback);
             default -> JsonHttp.answer(response, callback, NOT_FOUND, JsonHttp.object());
         }
     }
 
-    private void hold(JobWorkerLife l, JsonNode body, Response response, Callback callback) {
-        String refused = l.checkFence(body);
+    private void hold(JobWorkerIncarnation current, JsonNode body, Response response, Callback callback) {
+        String refused = current.checkFence(body);
         if (!refused.isEmpty()) {
             answer(response, callback, refused);
             return;
         }
-        l.extend(body);
-        if (l.hasEnds() || body.path("waitMs").asLong() == 0) {
-            JsonHttp.answer(response, callback, OK, l.shown());
+        current.acceptHold(body);
+        if (current.hasEnds() || body.path("waitMs").asLong() == 0) {
+            JsonHttp.answer(response, callback, OK, current.holdAnswer());
         } else {
-            holds.add(new Waiting(now() + body.path("waitMs").asLong(), response, callback));
+            holds.add(new PendingHold(now() + body.path("waitMs").asLong(), response, callback));
         }
     }
 
