--- a/standins/src/main/java/org/lupinpaddle/standins/Faults.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/Faults.java
@@ -18,13 +18,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The faults that a test has asked of the platform stand-in.
+ * The faults that a test has set on the platform stand-in.
  *
  * @param down whether every call to the store is refused with status 503
- * @param hang whether calls to the store get no answer, and watches no events, until this ends
- * @param delayMillis how long each call to the store takes
- * @param loseReplies how many of the next transactions take effect without a reply
- * @param listLagMillis how old the instance list is
+ * @param hang whether calls to the store get no answer, and watches no events, while this is set
+ * @param delayMillis the delay of each call to the store
+ * @param loseReplies the number of further transactions that take effect without a reply
+ * @param listLagMillis the age of the instance list
  * @param instancesDown whether drain, reboot and the list are refused with status 503
  */
 record Faults(
--- a/standins/src/main/java/org/lupinpaddle/standins/InstanceList.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/InstanceList.java
@@ -25,9 +25,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The platform's list of instances, which lags: a reader sees the newest snapshot that is at least the
- * lag old. Drain and reboot name the incarnation they mean and carry a fence that may not go back, so a
- * caller that was paused is refused. Not thread-safe; the caller holds its lock.
+ * The platform's list of instances. Readers see the newest snapshot that is at least the configured lag old. Drain and
+ * reboot orders name the expected incarnation and carry a fencing token that must not decrease, so that a caller that
+ * was paused is refused. Not thread-safe; callers synchronize.
  */
 final class InstanceList {
 
@@ -88,7 +88,7 @@
         return out;
     }
 
-    /** Returns the worker's address, or null with {@code why} filled where the call is refused. */
+    /** Returns the worker's address, or null with the reason in {@code error} if the order is refused. */
     @Nullable
     String checkOrder(String id, JsonNode call, ObjectNode error) {
         Instance i = instances.get(id);
--- a/standins/src/main/java/org/lupinpaddle/standins/JsonHttp.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/JsonHttp.java
@@ -26,31 +26,29 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** JSON over HTTP as both stand-ins speak it. */
+/** Helpers for JSON over HTTP, shared by the stand-ins. */
 public final class JsonHttp {
 
-    /** Reads and writes all bodies. */
+    /** The mapper for all bodies. */
     public static final ObjectMapper MAPPER = new ObjectMapper();
 
     private JsonHttp() {}
 
-    /** Returns an empty object. */
     public static ObjectNode object() {
         return MAPPER.createObjectNode();
     }
 
-    /** Returns an empty list. */
     public static ArrayNode array() {
         return MAPPER.createArrayNode();
     }
 
-    /** Reads the whole body of a request as an object; an empty body is an empty object. */
+    /** Reads the whole body of a request as JSON; an empty body counts as an empty object. */
     public static JsonNode body(Request request) throws IOException {
         String text = Content.Source.asString(request, StandardCharsets.UTF_8);
         return text.isBlank() ? object() : MAPPER.readTree(text);
     }
 
-    /** Answers with a status and an object. */
+    /** Sends an answer with a status and a JSON body. */
     public static void answer(Response response, Callback callback, int status, JsonNode node) {
         response.setStatus(status);
         response.getHeaders().put("Content-Type", "application/json");
--- a/standins/src/main/java/org/lupinpaddle/standins/KeyValueStore.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/KeyValueStore.java
@@ -30,9 +30,9 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A key-value store with revisions, compare-and-swap, leases and watches, in memory. Follows the JSON
- * form of etcd's v3 API for the calls that it has: range, txn comparing mod_revision, lease grant,
- * keepalive and revoke, watch. Not thread-safe; the caller holds its lock.
+ * An in-memory key-value store with revisions, compare-and-swap, leases and watches. Implements the JSON form of etcd's
+ * v3 API for these calls: range, txn comparing mod_revision, lease grant, keepalive and revoke, watch. Not thread-safe;
+ * callers synchronize.
  */
 final class KeyValueStore {
 
@@ -48,7 +48,7 @@
     private long nextLease = 1;
     private long writes;
 
-    /** Makes a store that tells {@code onChange} of each revision and its events. */
+    /** Creates a store that calls {@code onChange} with each new revision and its events. */
     KeyValueStore(BiConsumer<Long, List<ObjectNode>> onChange) {
         this.onChange = onChange;
     }
@@ -113,7 +113,7 @@
         onChange.accept(revision, events);
     }
 
-    // Values of one transaction share the revision that commit() will reach.
+    // All changes of one transaction share the revision that commit() will set.
     private ObjectNode put(JsonNode call) {
         String key = text(call, "key");
         Entry old = entries.get(key);
@@ -192,7 +192,7 @@
         }
     }
 
-    /** Returns the puts since a revision under a prefix, oldest first, for a watch that starts in the past. */
+    /** Returns the puts under a prefix since a revision, oldest first, for a watch that starts in the past. */
     List<ObjectNode> puts(String prefix, long since) {
         return history.stream()
                 .filter(e -> e.revision >= since && e.key.startsWith(prefix))
--- a/standins/src/main/java/org/lupinpaddle/standins/LoopbackServer.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/LoopbackServer.java
@@ -23,24 +23,25 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server of a stand-in for the platform: on the loopback address, one step for all requests. */
+/**
+ * The HTTP server of a platform stand-in, which listens on the loopback address and passes all requests to one handler.
+ */
 public final class LoopbackServer implements AutoCloseable {
 
     private static final String LOOPBACK = "127.0.0.1";
-    // Watches that wait hold no thread; what blocks are the short calls of some dozens of entries.
+    // Waiting watches hold no thread; only the short calls of some dozens of entries block one.
     private static final int MAX_THREADS = 64;
     private static final int MIN_THREADS = 4;
 
     private final Server server = new Server(new QueuedThreadPool(MAX_THREADS, MIN_THREADS));
     private final ServerConnector connector = new ServerConnector(server, 1, 1);
 
-    /** What is done with a request; it sees to the answer. */
+    /** Handles a request and completes its callback. */
     public interface RequestHandler {
-        /** Takes a request. */
         void handle(Request request, Response response, Callback callback) throws Exception;
     }
 
-    /** Makes a server for a port, or for one that the system chooses for 0; it does not listen yet. */
+    /** Creates a server for a port, or for a free one if the port is 0. It does not listen until {@link #start}. */
     public LoopbackServer(int port, RequestHandler handler) {
         connector.setHost(LOOPBACK);
         connector.setPort(port);
@@ -54,17 +55,16 @@
         });
     }
 
-    /** Keeps connections open for as long as nothing passes over them; Jetty's own time is 30 s. */
+    /** Sets how long idle connections stay open; Jetty's default is 30 s. */
     public void setIdleTimeout(long millis) {
         connector.setIdleTimeout(millis);
     }
 
-    /** Begins to listen. */
     public void start() throws Exception {
         server.start();
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return LOOPBACK + ":" + connector.getLocalPort();
     }
--- a/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
@@ -32,8 +32,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The platform in one small process: the configuration store, the lagging instance list, drain and
- * reboot. {@code POST /standin/faults} makes it slow, down, hanging, lossy or more lagging.
+ * A stand-in for the platform: the configuration store, the lagging instance list, drain and reboot. {@code POST
+ * /standin/faults} makes it slow, unavailable or unresponsive, lets it lose replies, or increases the lag of the list.
  */
 public final class PlatformStandIn implements AutoCloseable {
 
@@ -59,7 +59,7 @@
         server.setIdleTimeout(TimeUnit.HOURS.toMillis(1));
     }
 
-    /** Starts the stand-in on a port, or on one that the system chooses for 0. */
+    /** Starts the stand-in on a port, or on a free one if the port is 0. */
     public static PlatformStandIn start(int port) throws Exception {
         PlatformStandIn p = new PlatformStandIn(port);
         p.client.start();
@@ -68,12 +68,12 @@
         return p;
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return server.address();
     }
 
-    /** Sets faults from their JSON text. */
+    /** Sets the faults from JSON. */
     public void setFaults(String json) throws IOException {
         faults = Faults.of(JsonHttp.MAPPER.readTree(json));
     }
@@ -126,7 +126,7 @@
             return;
         }
         if (f.hang()) {
-            // Kept open without an answer, as a store that hangs does.
+            // The call stays open without an answer, as with a store that hangs.
             return;
         }
         if (f.delayMillis() > 0) {
--- a/standins/src/main/java/org/lupinpaddle/standins/StandInMain.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/StandInMain.java
@@ -34,7 +34,6 @@
 
     private StandInMain() {}
 
-    /** Starts the stand-in that the arguments name. */
     public static void main(String[] args) throws Exception {
         if (args.length >= 1 && args[0].equals("platform")) {
             PlatformStandIn platform = PlatformStandIn.start(args.length > 1 ? Integer.parseInt(args[1]) : 0);
--- a/standins/src/main/java/org/lupinpaddle/standins/WorkerPlace.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/WorkerPlace.java
@@ -16,12 +16,12 @@
 package org.lupinpaddle.standins;
 
 /**
- * What a worker stand-in tells the platform of itself.
+ * The description that a worker stand-in reports to the platform.
  *
  * @param id the instance's id
  * @param hall the data hall
  * @param rack the rack
- * @param slots how many requests it runs at once
+ * @param slots the number of requests that it runs concurrently
  * @param memoryMb its memory in megabytes
  */
 public record WorkerPlace(String id, String hall, String rack, int slots, int memoryMb) {}
--- a/standins/src/main/java/org/lupinpaddle/standins/WorkerStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/WorkerStandIn.java
@@ -36,11 +36,11 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * A worker in one small process: runs requests in slots, refuses in the agreed way when it is full or
- * leaving, reports its state, and can be drained, rebooted and told to misbehave.
+ * A stand-in for a worker. It runs requests in slots, refuses them as the protocol specifies when it is full or
+ * leaving, and reports its state. Tests can drain and reboot it and make it misbehave.
  *
- * <p>A request's {@code Run-Millis} header says how long it runs; its answer repeats the request's body
- * behind the worker's id, so that a caller can tell its own answer.
+ * <p>The {@code Run-Millis} header of a request sets its duration. The answer consists of the worker's id and the
+ * request's body, so that a caller can recognize its own answer.
  */
 public final class WorkerStandIn implements AutoCloseable {
 
@@ -89,7 +89,7 @@
         });
     }
 
-    /** Starts a worker that reports to the platform at this address. */
+    /** Starts a worker that reports to the platform at the given address. */
     public static WorkerStandIn start(WorkerPlace config, String platform) throws Exception {
         WorkerStandIn w = new WorkerStandIn(config, platform);
         w.client.start();
@@ -101,7 +101,7 @@
         return w;
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return "127.0.0.1:" + connector.getPort();
     }
@@ -202,7 +202,7 @@
             return;
         }
         if (truncate) {
-            // Promises the whole answer and breaks off in the middle of it.
+            // Announces the length of the whole answer and aborts after half of it.
             task.response.getHeaders().put("Content-Length", task.answer.length());
             Content.Sink.write(
                     task.response,
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobInstances.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobInstances.java
@@ -29,8 +29,8 @@
 import org.lupinpaddle.standins.JsonHttp;
 
 /**
- * The instances of the platform stand-in. A worker process stands for one instance; the stand-in tells it which life
- * it leads, and keeps that life's record in the store while the process reports.
+ * The instances of the platform stand-in. Each worker process represents one instance; the stand-in assigns it an
+ * incarnation and keeps the record of that incarnation in the store while the process reports.
  */
 final class JobInstances {
 
@@ -69,7 +69,7 @@
         return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** Takes in a worker process's report; answers with the life that it is to lead, empty for none. */
+    /** Handles the report of a worker process and returns its assigned incarnation; the id is empty if it has none. */
     JsonNode register(JsonNode report) {
         Instance instance = instances.computeIfAbsent(report.path("machine").asText(), id -> new Instance(report));
         instance.lastReportAt = now();
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Lets a worker crash and start again under its id. */
+    /** Simulates a crash of a worker that restarts under its id. */
     void restart(String machine) {
         Instance instance = instances.get(machine);
         if (instance != null && !instance.incarnationId.isEmpty()) {
@@ -99,7 +99,7 @@
     }
 
     private void startIncarnation(Instance instance) {
-        // Two lives of a worker do not begin in one millisecond.
+        // Two incarnations of a worker must not have the same start time in milliseconds.
         instance.bornMillis = Math.max(instance.bornMillis + 1, System.currentTimeMillis());
         ObjectNode record = JsonHttp.object()
                 .put("service", instance.pool)
@@ -119,7 +119,10 @@
         }
     }
 
-    /** Brings back what was moved or maintained, and takes lives off whose process is silent. */
+    /**
+     * Makes instances available again after a move or maintenance, and removes the records of those whose process no
+     * longer reports.
+     */
     void tick() {
         for (Instance instance : instances.values()) {
             if (now() >= instance.availableAt) {
@@ -147,7 +150,7 @@
         return answer;
     }
 
-    /** Carries an order out; returns why not, or nothing. */
+    /** Executes an order; returns the reason if it is refused, otherwise an empty string. */
     String order(String id, boolean upkeep, JsonNode order) {
         Instance instance = instances.get(id);
         String wave = order.path("wave").asText();
@@ -173,7 +176,7 @@
         return "";
     }
 
-    /** Tells the process which life it leads now; all that ran before is gone. */
+    /** Notifies the process of its current incarnation; a new incarnation has no tasks. */
     private void notifyWorker(Instance instance) {
         String url = "http://" + instance.description.path("address").asText() + "/standin/life";
         client.POST(url)
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobPlatformStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobPlatformStandIn.java
@@ -35,9 +35,9 @@
 import org.lupinpaddle.standins.LoopbackServer;
 
 /**
- * The operators' platform in one small process: store, list of instances with moves and upkeep, and advice that
- * allows every worker. Operators write below {@code op/} by {@code POST /standin/put}; {@code POST /standin/restart} with a
- * {@code machine} lets its worker crash and start again under its id.
+ * A stand-in for the operators' platform: the store, the list of instances with moves and maintenance, and advice that
+ * accepts every worker. Tests write operators' keys below {@code op/} with {@code POST /standin/put}; {@code POST
+ * /standin/restart} with a {@code machine} makes its worker crash and restart under its id.
  */
 public final class JobPlatformStandIn implements AutoCloseable {
 
@@ -84,7 +84,7 @@
                         route(new Exchange(request, JsonHttp.body(request), response, callback)));
     }
 
-    /** Starts the stand-in on a port, or on one that the system chooses for 0. */
+    /** Starts the stand-in on a port, or on a free one if the port is 0. */
     public static JobPlatformStandIn start(int port) throws Exception {
         JobPlatformStandIn p = new JobPlatformStandIn(port);
         p.client.start();
@@ -93,7 +93,7 @@
         return p;
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return server.address();
     }
@@ -222,7 +222,9 @@
         exchange.answer(OK, answer);
     }
 
-    /** Writes what operators write; with {@code coded} also a value that is no JSON, no text or not even base64. */
+    /**
+     * Writes a value as an operator does. {@code coded} allows values that are not JSON, not text or not valid base64.
+     */
     private void putAsOperator(Exchange exchange) {
         String key = exchange.body.path("key").asText();
         if (exchange.body.has("coded")) {
@@ -239,7 +241,7 @@
         store.change(puts, JsonHttp.array());
     }
 
-    /** Writes a record of the platform's own; an empty value removes it. */
+    /** Writes a record of the platform itself; an empty value removes it. */
     private synchronized void writeRecord(String key, String value) {
         ArrayNode puts = JsonHttp.array();
         ArrayNode removals = JsonHttp.array();
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobStore.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobStore.java
@@ -27,7 +27,7 @@
 import java.util.function.LongSupplier;
 import org.lupinpaddle.standins.JsonHttp;
 
-/** The platform's key-value store in memory: revisions, conditions, leases and a history for watches. */
+/** An in-memory model of the platform's key-value store: revisions, conditions, leases and a history for watches. */
 final class JobStore {
 
     private static final int MAX_HISTORY = 20_000;
@@ -54,7 +54,7 @@
         return revision;
     }
 
-    /** Returns the item as it is shown, or null. */
+    /** Returns the item as JSON, or null if it does not exist. */
     @org.jspecify.annotations.Nullable
     ObjectNode read(String key) {
         Item i = items.get(key);
@@ -70,7 +70,7 @@
         return answer;
     }
 
-    /** Returns the changes under a prefix after a revision; null when they are forgotten. */
+    /** Returns the changes under a prefix after a revision, or null if the history no longer reaches back that far. */
     @org.jspecify.annotations.Nullable
     ArrayNode changes(String prefix, long after) {
         if (after < compactedUpTo) {
@@ -83,7 +83,7 @@
         return all;
     }
 
-    /** Returns the items of the conditions as they are if one does not hold; otherwise null. */
+    /** Returns the current items of the conditions if one of them does not hold, otherwise null. */
     @org.jspecify.annotations.Nullable
     ObjectNode conflict(JsonNode conditions) {
         boolean holds = true;
@@ -104,7 +104,7 @@
         return id == 0 || leases.containsKey(id);
     }
 
-    /** Makes the changes of one call, under one revision. */
+    /** Applies the changes of one call under one revision. */
     void change(JsonNode puts, JsonNode removals) {
         revision++;
         for (JsonNode p : puts) {
@@ -157,7 +157,7 @@
         return existed;
     }
 
-    /** Ends the leases whose time is over. */
+    /** Ends the expired leases. */
     void expireLeases() {
         Iterator<Map.Entry<Long, Lease>> all = leases.entrySet().iterator();
         while (all.hasNext()) {
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerIncarnation.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerIncarnation.java
@@ -29,9 +29,9 @@
 import org.lupinpaddle.standins.JsonHttp;
 
 /**
- * What one life of a worker does with orders, as the protocol says: fences, deadlines, run numbers, numbered ends. A
- * task takes as long as its text says in {@code millis=N}, a second otherwise; with {@code lasts} in its text it runs
- * until it is stopped, with {@code fails} it fails.
+ * One incarnation of a worker: fencing tokens, deadlines, run numbers and numbered ends, as the protocol specifies. A
+ * task takes as long as {@code millis=N} in its text says, or one second without it. With {@code lasts} in its text it
+ * runs until it is stopped; with {@code fails} it fails.
  */
 final class JobWorkerIncarnation {
 
@@ -76,7 +76,7 @@
         return bornMillis;
     }
 
-    /** Returns why a start is refused, or nothing. */
+    /** Returns the reason if the start is refused, otherwise an empty string. */
     String start(JsonNode order) {
         if (isFenced(order)) {
             return "fence";
@@ -99,7 +99,7 @@
         return "";
     }
 
-    /** Returns why a stop is refused, or nothing. */
+    /** Returns the reason if the stop is refused, otherwise an empty string. */
     String stop(JsonNode order) {
         if (isFenced(order)) {
             return "fence";
@@ -114,7 +114,7 @@
         return "";
     }
 
-    /** Returns why an order that needs only the fence is refused, or nothing. */
+    /** Checks only the fencing token of an order; returns the reason if it is refused, otherwise an empty string. */
     String checkFence(JsonNode order) {
         return isFenced(order) ? "fence" : "";
     }
@@ -126,7 +126,7 @@
         return outdated;
     }
 
-    /** Takes in a hold: its deadline, and which ends may be forgotten. */
+    /** Applies the deadline of a hold and removes the ends that it acknowledges. */
     void acceptHold(JsonNode hold) {
         deadline = Math.max(deadline, hold.path("deadlineMs").asLong());
         ends.removeIf(e -> e.number <= hold.path("lastSeen").asLong());
@@ -136,7 +136,7 @@
         return !ends.isEmpty();
     }
 
-    /** Ends what is over by now: done, failed, or past its deadline. */
+    /** Ends the runs that are done, failed or past the deadline. */
     void endDueRuns() {
         long now = clock.getAsLong();
         for (Map.Entry<String, Run> e : List.copyOf(running.entrySet())) {
--- a/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/jobs/JobWorkerStandIn.java
@@ -34,7 +34,10 @@
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.standins.JsonHttp;
 
-/** A worker of the operators' platform as a process: it serves orders for the life that the platform gives it. */
+/**
+ * A stand-in for a worker of the operators' platform. It executes orders for the incarnation that the platform assigns
+ * to it.
+ */
 public final class JobWorkerStandIn implements AutoCloseable {
 
     private static final long REPORT_MILLIS = 300;
@@ -79,7 +82,7 @@
         });
     }
 
-    /** Starts a worker that stands for an instance of a pool, and reports to the platform. */
+    /** Starts a worker that represents an instance of a pool and reports to the platform. */
     public static JobWorkerStandIn start(String machine, String pool, String hall, String rack, String platform)
             throws Exception {
         JobWorkerStandIn w = new JobWorkerStandIn(machine, pool, hall, rack, platform);
@@ -91,7 +94,7 @@
         return w;
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return "127.0.0.1:" + connector.getLocalPort();
     }
@@ -111,12 +114,12 @@
                     .send();
             adopt(JsonHttp.MAPPER.readTree(answer.getContentAsString()));
         } catch (Exception e) {
-            // The platform is away; the worker goes on, and reports again in a moment.
+            // The platform is unavailable; the worker goes on and reports again after a moment.
             System.out.println("event=report-failed why=\"" + e + "\"");
         }
     }
 
-    /** Leads the life that the platform names; another birth under the same id is another life. */
+    /** Adopts the assigned incarnation; the same id with another start time is a new incarnation. */
     private synchronized void adopt(JsonNode assignment) {
         String id = assignment.path("life").asText();
         long born = assignment.path("born").asLong();
