--- a/ctl/src/main/java/org/lupinpaddle/ctl/EntryClient.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/EntryClient.java
@@ -34,8 +34,8 @@
  */
 final class EntryClient implements AutoCloseable {
 
-    private static final long CONNECT_MILLIS = 2_000;
-    private static final long ANSWER_SECONDS = 20;
+    private static final long CONNECT_TIMEOUT_MILLIS = 2_000;
+    private static final long ANSWER_TIMEOUT_SECONDS = 20;
     private static final int UNAUTHORIZED = 401;
 
     private final ObjectMapper mapper = new ObjectMapper();
@@ -44,26 +44,26 @@
 
     EntryClient(ToolOptions options) throws Exception {
         this.options = options;
-        client.setConnectTimeout(CONNECT_MILLIS);
+        client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
         client.start();
         client.getProtocolHandlers().clear();
     }
 
     /** Returns the entry's answer to the words of a command. */
-    JsonNode send(String words) throws ToolException {
-        StringBuilder tried = new StringBuilder();
+    JsonNode send(String commandLine) throws ToolException {
+        StringBuilder triedEntries = new StringBuilder();
         for (String entry : options.entries()) {
             try {
-                return sendTo(entry, words);
+                return sendTo(entry, commandLine);
             } catch (ConnectException e) {
-                tried.append(tried.isEmpty() ? "" : ", ").append(entry);
+                triedEntries.append(triedEntries.isEmpty() ? "" : ", ").append(entry);
             }
         }
-        throw new ToolException(ExitCode.NO_ENTRY, "no entry answers; tried " + tried);
+        throw new ToolException(ExitCode.NO_ENTRY, "no entry answers; tried " + triedEntries);
     }
 
-    private JsonNode sendTo(String entry, String words) throws ToolException, ConnectException {
+    private JsonNode sendTo(String entry, String commandLine) throws ToolException, ConnectException {
         Request request = client.POST("http://" + entry + "/v1/command")
                 .headers(h -> {
                     h.put("Authorization", "Bearer " + options.token());
@@ -72,9 +72,9 @@
                         h.put("Operator-Name", operator);
                     }
                 })
-                .body(new StringRequestContent("text/plain", words))
-                .timeout(ANSWER_SECONDS, TimeUnit.SECONDS);
-        ContentResponse response = answer(entry, request);
+                .body(new StringRequestContent("text/plain", commandLine))
+                .timeout(ANSWER_TIMEOUT_SECONDS, TimeUnit.SECONDS);
+        ContentResponse response = execute(entry, request);
         if (response.getStatus() == UNAUTHORIZED) {
             throw new ToolException(ExitCode.REFUSED, entry + " refuses the token; set " + ToolOptions.TOKEN_VARIABLE);
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    private static ContentResponse answer(String entry, Request request) throws ToolException, ConnectException {
+    private static ContentResponse execute(String entry, Request request) throws ToolException, ConnectException {
         try {
             return request.send();
         } catch (ExecutionException e) {
--- a/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
@@ -83,7 +83,7 @@
         if (words.size() == 3 && words.subList(0, 2).equals(List.of("wave", "watch"))) {
             return watch(words.get(2));
         }
-        checkWords(words);
+        validate(words);
         try (EntryClient client = client()) {
             return print(client.send(line(words)));
         }
@@ -103,7 +103,7 @@
         return ExitCode.DONE;
     }
 
-    private static void checkWords(List<String> words) throws ToolException {
+    private static void validate(List<String> words) throws ToolException {
         Either<String, OperatorCommand> command = CommandParser.parse(words);
         if (command.isLeft()) {
             throw new ToolException(ExitCode.WRONG_WORDS, command.getLeft());
@@ -119,10 +119,10 @@
     }
 
     private static String line(List<String> words) {
-        return words.stream().map(LupinctlMain::quoted).collect(Collectors.joining(" "));
+        return words.stream().map(LupinctlMain::quote).collect(Collectors.joining(" "));
     }
 
-    private static String quoted(String word) {
+    private static String quote(String word) {
         boolean plain = !word.isEmpty() && word.chars().noneMatch(c -> Character.isWhitespace(c) || c == '\'');
         return plain ? word : '"' + word + '"';
     }
@@ -166,16 +166,16 @@
     }
 
     private ExitCode watch(String wave) throws Exception {
-        String before = "";
+        String previous = "";
         try (EntryClient client = client()) {
             while (true) {
                 JsonNode answer = client.send("wave show " + wave);
                 String state = answer.path("data").path("state").asText();
                 String text = answer.path("lines").toString();
-                if (!text.equals(before)) {
+                if (!text.equals(previous)) {
                     print(answer);
                 }
-                before = text;
+                previous = text;
                 if (!state.equals("RUNNING") && !state.equals("PAUSED")) {
                     return state.equals("DONE") ? ExitCode.DONE : ExitCode.REFUSED;
                 }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/ToolOptions.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/ToolOptions.java
@@ -61,10 +61,10 @@
         return new ToolOptions(entries, tokenVariable == null ? "" : tokenVariable, operator, json, command);
     }
 
-    private static String value(String[] args, int at, String usage) {
-        if (at >= args.length) {
+    private static String value(String[] args, int index, String usage) {
+        if (index >= args.length) {
             throw new IllegalArgumentException("a value is missing; give " + usage);
         }
-        return args[at];
+        return args[index];
     }
 }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/Cause.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/Cause.java
@@ -22,11 +22,11 @@
     /** Its tasks ended by their own fault as often as they may. */
     FAILED("failed", j -> j.outcome.equals("FAILED")),
     /** No owner of its service took it for a while. */
-    OWNER("waited for an owner", j -> waitedForOwner(j) > share(j)),
+    OWNER("waited for an owner", j -> waitedForOwner(j) > threshold(j)),
     /** It was taken, and no worker had room for its first task. */
-    ROOM("waited for room", j -> waitedForRoom(j) > share(j)),
+    ROOM("waited for room", j -> waitedForRoom(j) > threshold(j)),
     /** A worker was chosen, and did not begin. */
-    START("waited for a start", j -> JobTrace.between(j.placedAt, j.begunAt) > share(j)),
+    START("waited for a start", j -> JobTrace.elapsed(j.placedAt, j.firstStartAt) > threshold(j)),
     /** Runs ended with their worker, or out of its owner's sight. */
     RUN_LOST("runs lost with their worker", j -> j.runsLost > 0),
     /** Runs failed and were tried again. */
@@ -34,26 +34,26 @@
     /** Runs were stopped, to go on elsewhere. */
     RUN_STOPPED("runs stopped, begun anew", j -> j.runsStopped > 0),
     /** Later steps were ready, and no worker had room for them. */
-    LATER_ROOM("later steps waited for room", j -> j.laterWaitMillis() > share(j)),
+    LATER_ROOM("later steps waited for room", j -> j.laterWaitMillis() > threshold(j)),
     /** Runs took longer than their owner expected. */
-    SLOW("runs longer than expected", j -> j.slowMillis() > share(j)),
+    SLOW("runs longer than expected", j -> j.excessMillis() > threshold(j)),
     /** No single one of these took long. */
     TOGETHER("several short waits together", j -> true);
 
     // A wait that takes more than this part of the objective is what made the job late.
-    private static final int PARTS = 4;
+    private static final int OBJECTIVE_DIVISOR = 4;
 
-    private final String words;
+    private final String label;
     private final Predicate<JobTrace> applies;
 
-    Cause(String words, Predicate<JobTrace> applies) {
-        this.words = words;
+    Cause(String label, Predicate<JobTrace> applies) {
+        this.label = label;
         this.applies = applies;
     }
 
     /** Returns the cause in words, for the table. */
-    String words() {
-        return words;
+    String label() {
+        return label;
     }
 
     /** Returns the cause of a job's lateness. */
@@ -66,15 +66,15 @@
         return TOGETHER;
     }
 
-    private static long share(JobTrace j) {
-        return j.objectiveMillis / PARTS;
+    private static long threshold(JobTrace j) {
+        return j.objectiveMillis / OBJECTIVE_DIVISOR;
     }
 
     private static long waitedForOwner(JobTrace j) {
-        return j.takenAt == JobTrace.UNKNOWN ? Long.MAX_VALUE : JobTrace.between(j.acceptedAt, j.takenAt);
+        return j.takenAt == JobTrace.UNKNOWN ? Long.MAX_VALUE : JobTrace.elapsed(j.acceptedAt, j.takenAt);
     }
 
     private static long waitedForRoom(JobTrace j) {
-        return j.placedAt == JobTrace.UNKNOWN ? Long.MAX_VALUE : JobTrace.between(j.takenAt, j.placedAt);
+        return j.placedAt == JobTrace.UNKNOWN ? Long.MAX_VALUE : JobTrace.elapsed(j.takenAt, j.placedAt);
     }
 }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/JobTrace.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/JobTrace.java
@@ -29,7 +29,7 @@
     long acceptedAt = UNKNOWN;
     long takenAt = UNKNOWN;
     long placedAt = UNKNOWN;
-    long begunAt = UNKNOWN;
+    long firstStartAt = UNKNOWN;
     long endedAt = UNKNOWN;
     /** From accepting to the end, by the owner; it says more than the difference of two entries' clocks. */
     long ageMillis = UNKNOWN;
@@ -46,7 +46,7 @@
     private final Map<String, Long> excessByStep = new HashMap<>();
 
     /** How a job has ended by its objective. */
-    enum End {
+    enum ObjectiveResult {
         /** Within its objective. */
         ON_TIME,
         /** Within three times its objective. */
@@ -57,7 +57,7 @@
         OPEN;
 
         /** Returns whether a job that ended so has missed its objective. */
-        boolean missed() {
+        boolean isMissed() {
             return this == LATE || this == PAST;
         }
     }
@@ -67,12 +67,12 @@
     }
 
     /** Takes in how long a task waited for its worker. */
-    void placed(String task, long waitedMillis) {
+    void addWait(String task, long waitedMillis) {
         waitByStep.merge(step(task), waitedMillis, Math::max);
     }
 
     /** Takes in by how much a task's run was longer than its owner expected. */
-    void ran(String task, long excessMillis) {
+    void addRun(String task, long excessMillis) {
         excessByStep.merge(step(task), excessMillis, Math::max);
     }
 
@@ -90,28 +90,30 @@
     }
 
     /** Returns by how much the longest runs of its steps were longer than expected, one step after the other. */
-    long slowMillis() {
+    long excessMillis() {
         return excessByStep.values().stream().mapToLong(Long::longValue).sum();
     }
 
-    End end(long lastLineAt) {
+    ObjectiveResult objectiveResult(long lastLineAt) {
         if (objectiveMillis == UNKNOWN || outcome.equals("CANCELLED") || acceptedAt == UNKNOWN) {
-            return End.OPEN;
+            return ObjectiveResult.OPEN;
         }
         if (outcome.equals("FAILED")) {
-            return End.PAST;
+            return ObjectiveResult.PAST;
         }
         if (ageMillis == UNKNOWN) {
-            return lastLineAt - acceptedAt > Policy.LATE_FACTOR * objectiveMillis ? End.PAST : End.OPEN;
+            return lastLineAt - acceptedAt > Policy.LATE_FACTOR * objectiveMillis
+                    ? ObjectiveResult.PAST
+                    : ObjectiveResult.OPEN;
         }
         if (ageMillis <= objectiveMillis) {
-            return End.ON_TIME;
+            return ObjectiveResult.ON_TIME;
         }
-        return ageMillis <= Policy.LATE_FACTOR * objectiveMillis ? End.LATE : End.PAST;
+        return ageMillis <= Policy.LATE_FACTOR * objectiveMillis ? ObjectiveResult.LATE : ObjectiveResult.PAST;
     }
 
     /** Returns the time from one moment to another; 0 where one is not known. */
-    static long between(long from, long to) {
+    static long elapsed(long from, long to) {
         return from == UNKNOWN || to == UNKNOWN ? 0 : Math.max(0, to - from);
     }
 }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadPlot.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadPlot.java
@@ -33,7 +33,7 @@
 final class LoadPlot {
 
     private static final int WIDTH = 1_200;
-    private static final int HEIGHT_OF_SERVICE = 260;
+    private static final int PLOT_HEIGHT = 260;
 
     private LoadPlot() {}
 
@@ -41,16 +41,16 @@
     static void write(LoadReport report, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         Map<String, TreeMap<Long, LoadReport.Second>> services = report.seconds();
-        CombinedDomainXYPlot all = new CombinedDomainXYPlot(new NumberAxis("second"));
-        services.forEach((name, seconds) -> all.add(plot(name, seconds)));
-        JFreeChart chart = new JFreeChart("load by service", all);
-        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT_OF_SERVICE * Math.max(1, services.size()));
+        CombinedDomainXYPlot combined = new CombinedDomainXYPlot(new NumberAxis("second"));
+        services.forEach((name, seconds) -> combined.add(plot(name, seconds)));
+        JFreeChart chart = new JFreeChart("load by service", combined);
+        ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, PLOT_HEIGHT * Math.max(1, services.size()));
     }
 
     private static XYPlot plot(String name, TreeMap<Long, LoadReport.Second> seconds) {
         XYSeriesCollection data = new XYSeriesCollection();
         data.addSeries(series("accepted", seconds, s -> s.accepted));
-        data.addSeries(series("on time", seconds, s -> s.ends.getOrDefault(JobTrace.End.ON_TIME, 0)));
+        data.addSeries(series("on time", seconds, s -> s.ends.getOrDefault(JobTrace.ObjectiveResult.ON_TIME, 0)));
         data.addSeries(series("workers", seconds, s -> s.workers));
         data.addSeries(series("needed", seconds, s -> s.needed));
         XYPlot plot = ChartFactory.createXYLineChart(name, "second", name, data).getXYPlot();
@@ -61,8 +61,8 @@
     private static XYSeries series(
             String name, TreeMap<Long, LoadReport.Second> seconds, ToLongFunction<LoadReport.Second> value) {
         XYSeries s = new XYSeries(name);
-        seconds.forEach((t, x) -> {
-            long v = value.applyAsLong(x);
+        seconds.forEach((t, second) -> {
+            long v = value.applyAsLong(second);
             if (v >= 0) {
                 s.add(t.doubleValue(), v);
             }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadReport.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadReport.java
@@ -28,15 +28,15 @@
  */
 final class LoadReport {
 
-    private static final int MILLIS = 1_000;
+    private static final int MILLIS_PER_SECOND = 1_000;
     // Millis since 1970 of a day in 1973: what is less counts from a begin of its own.
-    private static final long A_TIME_OF_DAY = 100_000_000_000L;
+    private static final long MIN_EPOCH_MILLIS = 100_000_000_000L;
 
     private final Map<String, JobTrace> jobs = new HashMap<>();
     private final Map<String, Long> acceptedAt = new HashMap<>();
     private final Map<String, TreeMap<Long, Second>> seconds = new TreeMap<>();
     /** From when on seconds count: the first line, where lines tell the time of day. */
-    private long begunAt = JobTrace.UNKNOWN;
+    private long originMillis = JobTrace.UNKNOWN;
 
     private long refused;
     private long lastLineAt = JobTrace.UNKNOWN;
@@ -55,7 +55,7 @@
         long waiting = -1;
         long hopeless = -1;
         final List<Long> firstStarts = new ArrayList<>();
-        final Map<JobTrace.End, Integer> ends = new EnumMap<>(JobTrace.End.class);
+        final Map<JobTrace.ObjectiveResult, Integer> ends = new EnumMap<>(JobTrace.ObjectiveResult.class);
         /** Why jobs missed their objective, of those that were accepted in this second. */
         final Map<Cause, Integer> causes = new EnumMap<>(Cause.class);
 
@@ -65,7 +65,7 @@
         }
 
         /** Returns another second that has seen the same lines, and no jobs yet. */
-        private Second ofLines() {
+        private Second copyWithoutJobs() {
             Second s = new Second();
             s.placed = placed;
             s.movedIn = movedIn;
@@ -84,86 +84,88 @@
         LogLine.parse(text).ifPresent(this::add);
     }
 
-    private void add(LogLine asWritten) {
-        if (begunAt == JobTrace.UNKNOWN) {
-            begunAt = asWritten.atMillis() < A_TIME_OF_DAY ? 0 : asWritten.atMillis() / MILLIS * MILLIS;
+    private void add(LogLine raw) {
+        if (originMillis == JobTrace.UNKNOWN) {
+            originMillis =
+                    raw.atMillis() < MIN_EPOCH_MILLIS ? 0 : raw.atMillis() / MILLIS_PER_SECOND * MILLIS_PER_SECOND;
         }
-        LogLine l = new LogLine(asWritten.atMillis() - begunAt, asWritten.event(), asWritten.fields());
-        lastLineAt = Math.max(lastLineAt, l.atMillis());
-        switch (l.event()) {
-            case "accept" -> accepted(l);
-            case "decision" -> decided(l);
-            case "service-load" -> loaded(l);
-            case "fleet" -> moved(l);
+        LogLine line = new LogLine(raw.atMillis() - originMillis, raw.event(), raw.fields());
+        lastLineAt = Math.max(lastLineAt, line.atMillis());
+        switch (line.event()) {
+            case "accept" -> onAccept(line);
+            case "decision" -> onDecision(line);
+            case "service-load" -> onServiceLoad(line);
+            case "fleet" -> onFleet(line);
             default -> {
                 // Not about load.
             }
         }
     }
 
-    private void accepted(LogLine l) {
-        if (l.text("outcome").equals("ACCEPTED")) {
-            acceptedAt.merge(l.text("job"), l.atMillis(), Math::min);
+    private void onAccept(LogLine line) {
+        if (line.text("outcome").equals("ACCEPTED")) {
+            acceptedAt.merge(line.text("job"), line.atMillis(), Math::min);
         } else {
             refused++;
         }
     }
 
-    private void decided(LogLine l) {
-        String key = l.text("job");
+    private void onDecision(LogLine line) {
+        String key = line.text("job");
         if (key.isEmpty()) {
             return;
         }
-        JobTrace j = jobs.computeIfAbsent(key, k -> new JobTrace(l.text("service")));
-        if (l.decides("JOB_TAKEN")) {
-            j.takenAt = first(j.takenAt, l.atMillis());
-            if (!l.text("lasting").equals("true")) {
-                j.objectiveMillis = l.number("objective-millis", JobTrace.UNKNOWN);
+        JobTrace j = jobs.computeIfAbsent(key, k -> new JobTrace(line.text("service")));
+        if (line.isDecision("JOB_TAKEN")) {
+            j.takenAt = earliest(j.takenAt, line.atMillis());
+            if (!line.text("lasting").equals("true")) {
+                j.objectiveMillis = line.number("objective-millis", JobTrace.UNKNOWN);
             }
-        } else if (l.decides("TASK_PLACED")) {
-            j.placedAt = first(j.placedAt, l.atMillis());
-            j.placed(l.text("task"), l.number("waited-millis", 0));
-            second(j.service, l.atMillis()).placed++;
-        } else if (l.decides("JOB_BEGUN")) {
-            j.begunAt = first(j.begunAt, l.atMillis());
-        } else if (l.decides("RUN_ENDED")) {
-            ended(j, l);
-        } else if (l.decides("JOB_ENDED")) {
-            j.endedAt = l.atMillis();
-            j.ageMillis = l.number("age-millis", JobTrace.UNKNOWN);
-            j.outcome = l.text("outcome");
+        } else if (line.isDecision("TASK_PLACED")) {
+            j.placedAt = earliest(j.placedAt, line.atMillis());
+            j.addWait(line.text("task"), line.number("waited-millis", 0));
+            second(j.service, line.atMillis()).placed++;
+        } else if (line.isDecision("JOB_BEGUN")) {
+            j.firstStartAt = earliest(j.firstStartAt, line.atMillis());
+        } else if (line.isDecision("RUN_ENDED")) {
+            onRunEnded(j, line);
+        } else if (line.isDecision("JOB_ENDED")) {
+            j.endedAt = line.atMillis();
+            j.ageMillis = line.number("age-millis", JobTrace.UNKNOWN);
+            j.outcome = line.text("outcome");
         }
     }
 
-    private static void ended(JobTrace j, LogLine l) {
-        switch (l.text("outcome")) {
+    private static void onRunEnded(JobTrace j, LogLine line) {
+        switch (line.text("outcome")) {
             case "LAPSED", "WORKER_LOST" -> j.runsLost++;
             case "FAILED" -> j.runsFailed++;
             case "STOPPED" -> j.runsStopped++;
-            case "DONE" -> j.ran(l.text("task"), l.number("took-millis", 0) - l.number("expected-millis", 0));
+            case "DONE" ->
+                j.addRun(line.text("task"), line.number("took-millis", 0) - line.number("expected-millis", 0));
             default -> {
                 // Says nothing of why the job is late.
             }
         }
     }
 
-    private static long first(long known, long at) {
-        return known == JobTrace.UNKNOWN ? at : Math.min(known, at);
+    private static long earliest(long current, long millis) {
+        return current == JobTrace.UNKNOWN ? millis : Math.min(current, millis);
     }
 
-    private void loaded(LogLine l) {
-        Second s = second(l.text("service"), l.atMillis());
-        s.workers = l.number("workers", -1);
-        s.silent = l.number("silent", -1);
-        s.needed = l.number("needed", -1);
-        s.waiting = l.number("waiting", -1);
-        s.hopeless = l.number("hopeless", -1);
+    private void onServiceLoad(LogLine line) {
+        Second s = second(line.text("service"), line.atMillis());
+        s.workers = line.number("workers", -1);
+        s.silent = line.number("silent", -1);
+        s.needed = line.number("needed", -1);
+        s.waiting = line.number("waiting", -1);
+        s.hopeless = line.number("hopeless", -1);
     }
 
-    private void moved(LogLine l) {
-        if (l.text("kind").equals("errand-begun") && l.text("errand").startsWith("MOVE:")) {
-            second(l.text("errand").substring("MOVE:".length()), l.atMillis()).movedIn++;
-            second(l.text("pool"), l.atMillis()).movedOut++;
+    private void onFleet(LogLine line) {
+        if (line.text("kind").equals("errand-begun") && line.text("errand").startsWith("MOVE:")) {
+            second(line.text("errand").substring("MOVE:".length()), line.atMillis()).movedIn++;
+            second(line.text("pool"), line.atMillis()).movedOut++;
         }
     }
 
@@ -171,48 +173,51 @@
         return second(seconds, service, atMillis);
     }
 
-    private static Second second(Map<String, TreeMap<Long, Second>> all, String service, long atMillis) {
-        return all.computeIfAbsent(service, s -> new TreeMap<>())
-                .computeIfAbsent(Math.floorDiv(atMillis, MILLIS), t -> new Second());
+    private static Second second(Map<String, TreeMap<Long, Second>> byService, String service, long atMillis) {
+        return byService
+                .computeIfAbsent(service, s -> new TreeMap<>())
+                .computeIfAbsent(Math.floorDiv(atMillis, MILLIS_PER_SECOND), t -> new Second());
     }
 
     /** Returns what each second of each service has seen; a job counts in the second in which it was accepted. */
     Map<String, TreeMap<Long, Second>> seconds() {
-        join();
-        Map<String, TreeMap<Long, Second>> all = new TreeMap<>();
-        seconds.forEach((service, byTime) -> {
+        assignAcceptTimes();
+        Map<String, TreeMap<Long, Second>> byService = new TreeMap<>();
+        seconds.forEach((service, bySecond) -> {
             TreeMap<Long, Second> copies = new TreeMap<>();
-            byTime.forEach((t, s) -> copies.put(t, s.ofLines()));
-            all.put(service, copies);
+            bySecond.forEach((t, s) -> copies.put(t, s.copyWithoutJobs()));
+            byService.put(service, copies);
         });
         for (JobTrace j : jobs.values()) {
             if (j.acceptedAt == JobTrace.UNKNOWN) {
                 continue;
             }
-            Second s = second(all, j.service, j.acceptedAt);
+            Second s = second(byService, j.service, j.acceptedAt);
             s.accepted++;
-            JobTrace.End end = j.end(lastLineAt);
+            JobTrace.ObjectiveResult end = j.objectiveResult(lastLineAt);
             s.ends.merge(end, 1, Integer::sum);
-            if (end.missed()) {
+            if (end.isMissed()) {
                 s.causes.merge(Cause.of(j), 1, Integer::sum);
             }
-            if (j.begunAt != JobTrace.UNKNOWN) {
-                s.firstStarts.add(JobTrace.between(j.acceptedAt, j.begunAt));
+            if (j.firstStartAt != JobTrace.UNKNOWN) {
+                s.firstStarts.add(JobTrace.elapsed(j.acceptedAt, j.firstStartAt));
             }
         }
-        return all;
+        return byService;
     }
 
     /** Returns for each service how many jobs missed their objective, by cause. */
     Map<String, Map<Cause, Integer>> causes() {
-        join();
-        Map<String, Map<Cause, Integer>> all = new TreeMap<>();
+        assignAcceptTimes();
+        Map<String, Map<Cause, Integer>> byService = new TreeMap<>();
         for (JobTrace j : jobs.values()) {
-            if (j.end(lastLineAt).missed()) {
-                all.computeIfAbsent(j.service, s -> new EnumMap<>(Cause.class)).merge(Cause.of(j), 1, Integer::sum);
+            if (j.objectiveResult(lastLineAt).isMissed()) {
+                byService
+                        .computeIfAbsent(j.service, s -> new EnumMap<>(Cause.class))
+                        .merge(Cause.of(j), 1, Integer::sum);
             }
         }
-        return all;
+        return byService;
     }
 
     /** Returns how many times a job was not taken. */
@@ -220,11 +225,11 @@
         return refused;
     }
 
-    private void join() {
+    private void assignAcceptTimes() {
         jobs.forEach((key, j) -> {
-            Long at = acceptedAt.get(key.substring(key.lastIndexOf('/') + 1));
-            if (at != null) {
-                j.acceptedAt = at;
+            Long millis = acceptedAt.get(key.substring(key.lastIndexOf('/') + 1));
+            if (millis != null) {
+                j.acceptedAt = millis;
             }
         });
     }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadTable.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadTable.java
@@ -39,7 +39,7 @@
         lines.add("jobs that missed their objective, by cause:");
         report.causes()
                 .forEach((service, causes) ->
-                        causes.forEach((c, n) -> lines.add(String.format("  %-16s %5d  %s", service, n, c.words()))));
+                        causes.forEach((c, n) -> lines.add(String.format("  %-16s %5d  %s", service, n, c.label()))));
         report.seconds().forEach((service, seconds) -> addWorst(lines, service, seconds));
         report.seconds().forEach((service, seconds) -> addService(lines, service, seconds));
         return lines;
@@ -61,7 +61,7 @@
 
     private static String worstRow(long second, LoadReport.Second s) {
         String causes = s.causes.entrySet().stream()
-                .map(e -> e.getValue() + " " + e.getKey().words())
+                .map(e -> e.getValue() + " " + e.getKey().label())
                 .collect(Collectors.joining(", "));
         return String.format("  %6d  %d of %d missed: %s", second, s.missed(), s.accepted, causes);
     }
@@ -94,22 +94,22 @@
                 "%6d %8d %7d %4d %4d %6s %6s %7s %6d %7s %8s %6s %6s %7d %5d",
                 second,
                 s.accepted,
-                count(s.ends, JobTrace.End.ON_TIME),
-                count(s.ends, JobTrace.End.LATE),
-                count(s.ends, JobTrace.End.PAST),
+                count(s.ends, JobTrace.ObjectiveResult.ON_TIME),
+                count(s.ends, JobTrace.ObjectiveResult.LATE),
+                count(s.ends, JobTrace.ObjectiveResult.PAST),
                 median(s.firstStarts),
                 s.firstStarts.isEmpty() ? "" : seconds(Collections.max(s.firstStarts)),
-                known(s.waiting),
+                orBlank(s.waiting),
                 s.placed,
-                known(s.workers),
-                known(s.hopeless),
-                known(s.silent),
-                known(s.needed),
+                orBlank(s.workers),
+                orBlank(s.hopeless),
+                orBlank(s.silent),
+                orBlank(s.needed),
                 s.movedIn,
                 s.movedOut);
     }
 
-    private static int count(Map<JobTrace.End, Integer> ends, JobTrace.End end) {
+    private static int count(Map<JobTrace.ObjectiveResult, Integer> ends, JobTrace.ObjectiveResult end) {
         return ends.getOrDefault(end, 0);
     }
 
@@ -124,7 +124,7 @@
         return String.format("%.1f", millis / MILLIS);
     }
 
-    private static String known(long n) {
+    private static String orBlank(long n) {
         return n < 0 ? "" : Long.toString(n);
     }
 }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LogLine.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LogLine.java
@@ -35,47 +35,48 @@
  */
 record LogLine(long atMillis, String event, Map<String, String> fields) {
 
-    private static final Pattern GATHERED = Pattern.compile("^\\s*(-?\\d+\\.\\d+)\\s");
-    private static final Pattern DATED = Pattern.compile("(\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3}) level=");
-    private static final Pattern PAIR = Pattern.compile("([a-z-]+)=(?:\"((?:[^\"\\\\]|\\\\.)*)\"|(\\S+))");
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
-    private static final String EVENT = "event=";
-    private static final int MILLIS = 1_000;
+    private static final Pattern RELATIVE_TIME = Pattern.compile("^\\s*(-?\\d+\\.\\d+)\\s");
+    private static final Pattern TIMESTAMP =
+            Pattern.compile("(\\d{4}-\\d\\d-\\d\\d \\d\\d:\\d\\d:\\d\\d\\.\\d{3}) level=");
+    private static final Pattern FIELD = Pattern.compile("([a-z-]+)=(?:\"((?:[^\"\\\\]|\\\\.)*)\"|(\\S+))");
+    private static final DateTimeFormatter TIMESTAMP_FORMAT = DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS");
+    private static final String EVENT_KEY = "event=";
+    private static final int MILLIS_PER_SECOND = 1_000;
 
     /** Returns the event of a line, or nothing where the line has none or no time. */
     static Optional<LogLine> parse(String line) {
-        int at = line.indexOf(EVENT);
-        if (at < 0) {
+        int start = line.indexOf(EVENT_KEY);
+        if (start < 0) {
             return Optional.empty();
         }
         Map<String, String> fields = new HashMap<>();
-        addPairs(line.substring(at), fields);
+        addFields(line.substring(start), fields);
         String event = fields.getOrDefault("event", "");
-        return time(line.substring(0, at)).map(t -> new LogLine(t, event, fields));
+        return time(line.substring(0, start)).map(t -> new LogLine(t, event, fields));
     }
 
-    private static void addPairs(String text, Map<String, String> fields) {
-        Matcher m = PAIR.matcher(text);
-        while (m.find()) {
-            String quoted = m.group(2);
-            fields.putIfAbsent(m.group(1), quoted == null ? m.group(3) : quoted);
+    private static void addFields(String text, Map<String, String> fields) {
+        Matcher matcher = FIELD.matcher(text);
+        while (matcher.find()) {
+            String quoted = matcher.group(2);
+            fields.putIfAbsent(matcher.group(1), quoted == null ? matcher.group(3) : quoted);
             if (quoted != null) {
-                addPairs(quoted, fields);
+                addFields(quoted, fields);
             }
         }
     }
 
-    private static Optional<Long> time(String head) {
-        Matcher gathered = GATHERED.matcher(head);
-        if (gathered.find()) {
-            return Optional.of(Math.round(Double.parseDouble(gathered.group(1)) * MILLIS));
+    private static Optional<Long> time(String prefix) {
+        Matcher relative = RELATIVE_TIME.matcher(prefix);
+        if (relative.find()) {
+            return Optional.of(Math.round(Double.parseDouble(relative.group(1)) * MILLIS_PER_SECOND));
         }
-        Matcher dated = DATED.matcher(head);
-        if (!dated.find()) {
+        Matcher timestamp = TIMESTAMP.matcher(prefix);
+        if (!timestamp.find()) {
             return Optional.empty();
         }
         try {
-            LocalDateTime t = LocalDateTime.parse(dated.group(1), TIME);
+            LocalDateTime t = LocalDateTime.parse(timestamp.group(1), TIMESTAMP_FORMAT);
             return Optional.of(t.toInstant(ZoneOffset.UTC).toEpochMilli());
         } catch (DateTimeParseException e) {
             // Not a time of day after all, as in a line that was cut.
@@ -89,16 +90,16 @@
     }
 
     /** Returns a field's whole number, or the other where there is none. */
-    long number(String field, long other) {
+    long number(String field, long defaultValue) {
         try {
             return Long.parseLong(text(field));
         } catch (NumberFormatException e) {
-            return other;
+            return defaultValue;
         }
     }
 
     /** Returns whether this is a decision of the kind. */
-    boolean decides(String kind) {
+    boolean isDecision(String kind) {
         return event.equals("decision") && text("kind").equals(kind);
     }
 }
--- a/ctl/src/test/java/org/lupinpaddle/ctl/report/ReportCommandTest.java
+++ b/ctl/src/test/java/org/lupinpaddle/ctl/report/ReportCommandTest.java
@@ -46,7 +46,7 @@
     }
 
     /** A job that waits from 10.1 until 13.0 s for room, and ends at 14.0 s; its objective is 2 s. */
-    private static List<String> aLateJob() {
+    private static List<String> lateJob() {
         return List.of(
                 line(10.0, "event=accept job=00000000000000aa host=h path=/q/00000000000000aa outcome=ACCEPTED"),
                 decision(10.1, "JOB_TAKEN", "00000000000000aa", "why=\"objective-millis=2000 lasting=false\""),
@@ -68,40 +68,40 @@
     }
 
     @Nested
-    class Jobs {
+    class JobReports {
 
         @Test
-        void countInTheSecondInWhichTheyWereAccepted() {
-            LoadReport.Second s = second(report(aLateJob()), "clips", 10);
+        void countInTheSecondOfAcceptance() {
+            LoadReport.Second s = second(report(lateJob()), "clips", 10);
             assertEquals(1, s.accepted);
-            assertEquals(Map.of(JobTrace.End.LATE, 1), s.ends);
+            assertEquals(Map.of(JobTrace.ObjectiveResult.LATE, 1), s.ends);
             assertEquals(List.of(3_100L), s.firstStarts);
         }
 
         @Test
-        void thatMissedTellTheirCauseInTheSecondInWhichTheyWereAccepted() {
-            LoadReport r = report(aLateJob());
+        void showTheCauseInTheSecondOfAcceptance() {
+            LoadReport r = report(lateJob());
             assertEquals(Map.of(Cause.ROOM, 1), second(r, "clips", 10).causes);
             assertEquals(0, second(r, "clips", 13).missed());
         }
 
         @Test
-        void countOnceHoweverOftenTheReportIsAsked() {
-            LoadReport r = report(aLateJob());
+        void countOnceAcrossRepeatedQueries() {
+            LoadReport r = report(lateJob());
             assertEquals(1, second(r, "clips", 10).accepted);
             assertEquals(1, second(r, "clips", 10).accepted, "the table and the picture ask one after the other");
         }
 
         @Test
-        void thatAreLateHaveTheirCause() {
+        void haveACauseIfLate() {
             assertEquals(
-                    Map.of("clips", Map.of(Cause.ROOM, 1)), report(aLateJob()).causes());
+                    Map.of("clips", Map.of(Cause.ROOM, 1)), report(lateJob()).causes());
         }
 
         @Test
-        void thatWereNeverTakenWaitForAnOwner() {
+        void waitForAnOwnerIfNotTaken() {
             List<String> lines = List.of(
-                    aLateJob().get(0),
+                    lateJob().get(0),
                     decision(15.0, "JOB_TAKEN", "00000000000000aa", "why=\"objective-millis=2000 lasting=false\""),
                     decision(22.0, "TASK_PLACED", "00000000000000bb", "task=0.0.0 run=1 worker=w"));
             assertEquals(Map.of("clips", Map.of(Cause.OWNER, 1)), report(lines).causes());
@@ -110,7 +110,7 @@
         /** A job whose first step is placed at once; what follows is given, and it ends 3 s after its begin, not 2. */
         private Map<String, Map<Cause, Integer>> causesWith(String... lines) {
             List<String> all = new ArrayList<>(List.of(
-                    aLateJob().get(0),
+                    lateJob().get(0),
                     decision(10.0, "JOB_TAKEN", JOB, "why=\"objective-millis=2000 lasting=false\""),
                     decision(10.1, "TASK_PLACED", JOB, "task=0.0.0 run=1 why=\"waited-millis=10\""),
                     decision(10.1, "JOB_BEGUN", JOB, "")));
@@ -120,7 +120,7 @@
         }
 
         @Test
-        void whoseLaterStepsWaitedAreToldFromThoseThatRanLong() {
+        void distinguishLaterWaitsFromLongRuns() {
             String waited = decision(12.0, "TASK_PLACED", JOB, "task=0.1.3 run=1 why=\"waited-millis=900\"");
             String ran = decision(
                     12.0,
@@ -132,53 +132,53 @@
         }
 
         @Test
-        void whoseRunsWereStoppedAreToldFromThoseThatWaitedAfterwards() {
+        void distinguishStoppedRunsFromLaterWaits() {
             String stopped = decision(10.9, "RUN_ENDED", JOB, "task=0.0.0 run=1 outcome=STOPPED");
             String anew = decision(12.0, "TASK_PLACED", JOB, "task=0.0.0 run=2 why=\"waited-millis=900\"");
             assertEquals(Map.of("clips", Map.of(Cause.RUN_STOPPED, 1)), causesWith(stopped, anew));
         }
 
         @Test
-        void withNoLongWaitAreCalledSo() {
+        void combineSeveralShortWaits() {
             assertEquals(Map.of("clips", Map.of(Cause.TOGETHER, 1)), causesWith());
         }
 
         @Test
-        void thatLastHaveNoObjective() {
+        void haveNoObjectiveIfLongRunning() {
             List<String> lines = List.of(
-                    aLateJob().get(0),
+                    lateJob().get(0),
                     decision(15.0, "JOB_TAKEN", "00000000000000aa", "why=\"objective-millis=2000 lasting=true\""),
                     decision(60.0, "JOB_ENDED", "00000000000000aa", "outcome=CANCELLED age-millis=50000"));
             assertEquals(Map.of(), report(lines).causes());
         }
 
         @Test
-        void thatWereNotTakenAreCounted() {
+        void countRefusedSubmissions() {
             LoadReport r = report(List.of(line(1.0, "event=accept job=00000000000000aa outcome=NOT_TAKEN")));
             assertEquals(1, r.refused());
         }
     }
 
     @Nested
-    class Services {
+    class ServiceRows {
 
         @Test
-        void showWhatTheirOwnersToldAndWhatMoved() {
-            LoadReport.Second s = second(report(aLateJob()), "clips", 13);
+        void showLoadAndMoves() {
+            LoadReport.Second s = second(report(lateJob()), "clips", 13);
             assertEquals(7, s.workers);
             assertEquals(9, s.needed);
             assertEquals(2, s.silent);
             assertEquals(1, s.movedIn);
-            assertEquals(1, second(report(aLateJob()), "spare", 13).movedOut);
+            assertEquals(1, second(report(lateJob()), "spare", 13).movedOut);
         }
     }
 
     @Nested
-    class Inputs {
+    class InputFiles {
 
         @Test
-        void becomeATableAndAPicture(@TempDir Path folder) throws IOException {
-            Path log = Files.write(folder.resolve("all.log"), aLateJob());
+        void produceATableAndAPicture(@TempDir Path folder) throws IOException {
+            Path log = Files.write(folder.resolve("all.log"), lateJob());
             Path picture = folder.resolve("load.png");
             List<String> table = ReportCommand.run(List.of(log.toString(), picture.toString()));
             assertTrue(table.stream().anyMatch(l -> l.contains("waited for room")), table.toString());
@@ -186,30 +186,30 @@
         }
 
         @Test
-        void tellTheWorstSecondsWithTheirCauses() {
-            List<String> table = LoadTable.lines(report(aLateJob()));
+        void showTheWorstSecondsWithCauses() {
+            List<String> table = LoadTable.lines(report(lateJob()));
             int title = table.indexOf("worst seconds of clips:");
             assertEquals("      10  1 of 1 missed: 1 waited for room", table.get(title + 1));
         }
 
         @Test
-        void withoutTimesOrEventsGiveAnEmptyTable(@TempDir Path folder) throws IOException {
+        void withoutTimesOrEventsProduceAnEmptyTable(@TempDir Path folder) throws IOException {
             Path log = Files.write(folder.resolve("all.log"), List.of("nothing here", "event=accept job=a"));
             assertEquals(2, ReportCommand.run(List.of(log.toString())).size());
         }
 
         @Test
-        void thatAreMissingAreToldPlainly(@TempDir Path folder) {
+        void areReportedIfMissing(@TempDir Path folder) {
             List<String> words = List.of(folder.resolve("none").toString());
             assertThrows(IllegalArgumentException.class, () -> ReportCommand.run(words));
         }
     }
 
     @Nested
-    class Times {
+    class Timestamps {
 
         @Test
-        void ofTheTableCountFromTheFirstLine() {
+        void areRelativeToTheFirstLine() {
             LoadReport r = report(List.of(
                     "2026-12-02 10:00:00.250 level=INFO event=started",
                     "2026-12-02 10:00:07.500 level=INFO event=service-load service=clips workers=7"));
@@ -217,7 +217,7 @@
         }
 
         @Test
-        void areTheLinesOwnWhereNobodyHasPutSecondsInFront() {
+        void areReadFromTheLineWithoutRelativeTime() {
             LogLine a =
                     LogLine.parse("2026-12-02 10:00:00.250 level=INFO event=x").orElseThrow();
             LogLine b =
