--- a/ctl/src/main/java/org/lupinpaddle/ctl/EntryClient.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/EntryClient.java
@@ -29,8 +29,8 @@
 import org.eclipse.jetty.client.StringRequestContent;
 
 /**
- * Sends a command to the first entry that can be reached. A command is sent on to the next entry only when
- * no connection was made: once it may have been read, what became of it is for the operator to ask.
+ * Sends a command to the first reachable entry. Tries the next entry only if no connection was made: once an entry may
+ * have read the command, the operator has to ask whether it took effect.
  */
 final class EntryClient implements AutoCloseable {
 
@@ -50,7 +50,7 @@
         client.getProtocolHandlers().clear();
     }
 
-    /** Returns the entry's answer to the words of a command. */
+    /** Returns the entry's answer to a command. */
     JsonNode send(String commandLine) throws ToolException {
         StringBuilder triedEntries = new StringBuilder();
         for (String entry : options.entries()) {
--- a/ctl/src/main/java/org/lupinpaddle/ctl/ExitCode.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/ExitCode.java
@@ -17,15 +17,15 @@
 
 /** The tool's exit codes. */
 enum ExitCode {
-    /** The question was answered or the change accepted. */
+    /** The query was answered or the change was accepted. */
     DONE(0),
-    /** The change or question was refused. */
+    /** The query or change was refused. */
     REFUSED(1),
-    /** The words are wrong; nothing was sent. */
+    /** The command line is invalid; nothing was sent. */
     WRONG_WORDS(2),
     /** No entry could be reached; nothing was sent. */
     NO_ENTRY(3),
-    /** It is not known whether the change was made. */
+    /** It is unknown whether the change was made. */
     UNKNOWN(4);
 
     private final int code;
--- a/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.ctl.report.ReportCommand;
 
 /**
- * The operators' tool. It reads the words of a command itself, so that wrong words are told without asking
- * anybody, and sends them as they are to an entry. Three commands are its own: {@code load FILE} runs a
- * file of commands, a line each, {@code wave watch NAME} asks until a wave has ended, and {@code report LOG} reads the
- * lines that entries have written.
+ * The operators' command-line tool. It validates a command locally, so that errors are reported without contacting an
+ * entry, and sends the command unchanged to an entry. It implements three commands itself: {@code load FILE} runs a
+ * file with one command per line, {@code wave watch NAME} polls a wave until it has ended, and {@code report LOG}
+ * evaluates the log lines of entries.
  */
 public final class LupinctlMain {
 
@@ -44,7 +44,7 @@
         this.options = options;
     }
 
-    /** Runs the command that the arguments name. */
+    /** Runs the command in the arguments. */
     public static void main(String[] args) {
         System.exit(run(args).code());
     }
@@ -149,7 +149,7 @@
         }
     }
 
-    // A line that was refused or is not known stops the rest, so that a later line never builds on it.
+    // Stops at the first line that was refused or whose outcome is unknown, so that no later line builds on it.
     private ExitCode load(Path file, List<String> lines, EntryClient client) throws ToolException {
         for (int n = 0; n < lines.size(); n++) {
             List<String> words = CommandParser.split(lines.get(n).replaceFirst("#.*", ""));
--- a/ctl/src/main/java/org/lupinpaddle/ctl/ToolException.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/ToolException.java
@@ -15,7 +15,7 @@
  */
 package org.lupinpaddle.ctl;
 
-/** Ends the tool with an exit code and one line that says why. */
+/** Ends the tool with an exit code and a one-line reason. */
 final class ToolException extends Exception {
 
     private static final long serialVersionUID = 1L;
--- a/ctl/src/main/java/org/lupinpaddle/ctl/ToolOptions.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/ToolOptions.java
@@ -20,12 +20,12 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The options that stand before a command: where the entries are, who asks, and how the answer looks. The
- * words after them are the command, which the entry reads too.
+ * The options before the command: the entries, the operator and the output format. The words after the options form the
+ * command, which the entry parses as well.
  *
- * @param entries operator addresses of entries, tried in turn
+ * @param entries operator addresses of entries, tried in order
  * @param token the bearer token
- * @param operator the name under which changes are made, or null for the address
+ * @param operator the name under which changes are recorded, or null for the operator's address
  * @param json whether the answer is printed as JSON
  * @param command the words of the command
  */
@@ -35,7 +35,11 @@
     static final String ENTRIES_VARIABLE = "LUPINCTL_ENTRIES";
     static final String TOKEN_VARIABLE = "LUPINCTL_TOKEN";
 
-    /** Reads the options in front of the command; fails with one line that says what is wrong. */
+    /**
+     * Parses the options before the command.
+     *
+     * @throws IllegalArgumentException with a one-line reason if an option is invalid
+     */
     static ToolOptions parse(String[] args, @Nullable String entriesVariable, @Nullable String tokenVariable) {
         List<String> entries = new ArrayList<>();
         String operator = null;
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/Cause.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/Cause.java
@@ -17,30 +17,30 @@
 
 import java.util.function.Predicate;
 
-/** Why a job did not end within its objective: the first that applies. */
+/** The reason why a job missed its objective; the first one that applies counts. */
 enum Cause {
-    /** Its tasks ended by their own fault as often as they may. */
+    /** A task failed as often as it may. */
     FAILED("failed", j -> j.outcome.equals("FAILED")),
-    /** No owner of its service took it for a while. */
+    /** No owner of its service took the job for a while. */
     OWNER("waited for an owner", j -> waitedForOwner(j) > threshold(j)),
-    /** It was taken, and no worker had room for its first task. */
+    /** The job was taken, but no worker had room for its first task. */
     ROOM("waited for room", j -> waitedForRoom(j) > threshold(j)),
-    /** A worker was chosen, and did not begin. */
+    /** A worker was chosen, but the first run did not start for a while. */
     START("waited for a start", j -> JobTrace.elapsed(j.placedAt, j.firstStartAt) > threshold(j)),
-    /** Runs ended with their worker, or out of its owner's sight. */
+    /** Runs were lost with their worker or because the lease lapsed. */
     RUN_LOST("runs lost with their worker", j -> j.runsLost > 0),
-    /** Runs failed and were tried again. */
+    /** Runs failed and were retried. */
     RUN_FAILED("runs failed", j -> j.runsFailed > 0),
-    /** Runs were stopped, to go on elsewhere. */
+    /** Runs were stopped and restarted elsewhere. */
     RUN_STOPPED("runs stopped, begun anew", j -> j.runsStopped > 0),
-    /** Later steps were ready, and no worker had room for them. */
+    /** Later steps were ready, but no worker had room for them. */
     LATER_ROOM("later steps waited for room", j -> j.laterWaitMillis() > threshold(j)),
     /** Runs took longer than their owner expected. */
     SLOW("runs longer than expected", j -> j.excessMillis() > threshold(j)),
-    /** No single one of these took long. */
+    /** No single one of these took long enough to count. */
     TOGETHER("several short waits together", j -> true);
 
-    // A wait that takes more than this part of the objective is what made the job late.
+    // A wait counts as the cause if it takes more than a quarter of the objective.
     private static final int OBJECTIVE_DIVISOR = 4;
 
     private final String label;
@@ -51,12 +51,12 @@
         this.applies = applies;
     }
 
-    /** Returns the cause in words, for the table. */
+    /** Returns the description for the table. */
     String label() {
         return label;
     }
 
-    /** Returns the cause of a job's lateness. */
+    /** Returns the first cause that applies to a job. */
     static Cause of(JobTrace job) {
         for (Cause c : values()) {
             if (c.applies.test(job)) {
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/JobTrace.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/JobTrace.java
@@ -19,7 +19,10 @@
 import java.util.Map;
 import org.lupinpaddle.core.job.Policy;
 
-/** What the lines tell of one job, times in milliseconds by their clocks; {@link #UNKNOWN} where nothing is told. */
+/**
+ * The history of a job as reconstructed from log lines. Times are in milliseconds by the clocks of the lines, or {@link
+ * #UNKNOWN} if no line has them.
+ */
 final class JobTrace {
 
     static final long UNKNOWN = Long.MIN_VALUE;
@@ -31,32 +34,35 @@
     long placedAt = UNKNOWN;
     long firstStartAt = UNKNOWN;
     long endedAt = UNKNOWN;
-    /** From accepting to the end, by the owner; it says more than the difference of two entries' clocks. */
+    /**
+     * Time from acceptance to the end as measured by the owner; more precise than the difference between the clocks of
+     * two entries.
+     */
     long ageMillis = UNKNOWN;
-    /** Within which time of its begin it was to end; {@link #UNKNOWN} for what lasts. */
+    /** The time within which the job should end; {@link #UNKNOWN} for long-running jobs. */
     long objectiveMillis = UNKNOWN;
 
     String outcome = "";
     int runsLost;
     int runsFailed;
     int runsStopped;
-    /** The longest wait for a worker of any task of a step, and by how much its longest run was longer than expected. */
+    /** The longest wait of any task for a worker, by step. */
     private final Map<String, Long> waitByStep = new HashMap<>();
 
     private final Map<String, Long> excessByStep = new HashMap<>();
 
-    /** How a job has ended by its objective. */
+    /** The result of a job compared with its objective. */
     enum ObjectiveResult {
-        /** Within its objective. */
+        /** Ended within its objective. */
         ON_TIME,
-        /** Within three times its objective. */
+        /** Ended within three times its objective. */
         LATE,
-        /** Later than that, or failed. */
+        /** Ended later than that, or failed. */
         PAST,
-        /** It lasts, was cancelled, or its end is not told. */
+        /** The job is long-running or was cancelled, or its end is unknown. */
         OPEN;
 
-        /** Returns whether a job that ended so has missed its objective. */
+        /** Returns whether the job missed its objective. */
         boolean isMissed() {
             return this == LATE || this == PAST;
         }
@@ -66,22 +72,22 @@
         this.service = service;
     }
 
-    /** Takes in how long a task waited for its worker. */
+    /** Records how long a task waited for its worker. */
     void addWait(String task, long waitedMillis) {
         waitByStep.merge(step(task), waitedMillis, Math::max);
     }
 
-    /** Takes in by how much a task's run was longer than its owner expected. */
+    /** Records by how much a run took longer than its owner expected. */
     void addRun(String task, long excessMillis) {
         excessByStep.merge(step(task), excessMillis, Math::max);
     }
 
-    /** A task is named by time, step and index. */
+    /** Returns the step of a task; the id of a task consists of time, step and index. */
     private static String step(String task) {
         return task.substring(0, Math.max(0, task.lastIndexOf('.')));
     }
 
-    /** Returns how long the job's steps but the first waited for workers; they follow one another. */
+    /** Returns the total wait of all steps after the first; steps run one after another. */
     long laterWaitMillis() {
         return waitByStep.entrySet().stream()
                 .filter(e -> !e.getKey().equals(FIRST_STEP))
@@ -89,7 +95,7 @@
                 .sum();
     }
 
-    /** Returns by how much the longest runs of its steps were longer than expected, one step after the other. */
+    /** Returns by how much the longest run of each step exceeded the expectation, summed over the steps. */
     long excessMillis() {
         return excessByStep.values().stream().mapToLong(Long::longValue).sum();
     }
@@ -112,7 +118,7 @@
         return ageMillis <= Policy.LATE_FACTOR * objectiveMillis ? ObjectiveResult.LATE : ObjectiveResult.PAST;
     }
 
-    /** Returns the time from one moment to another; 0 where one is not known. */
+    /** Returns the time between two times, or 0 if one of them is unknown. */
     static long elapsed(long from, long to) {
         return from == UNKNOWN || to == UNKNOWN ? 0 : Math.max(0, to - from);
     }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadPlot.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadPlot.java
@@ -29,7 +29,7 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Draws a {@link LoadReport} as a picture: a plot for each service over one axis of time. */
+/** Draws a {@link LoadReport} as an image with one plot for each service over a common time axis. */
 final class LoadPlot {
 
     private static final int WIDTH = 1_200;
@@ -37,7 +37,7 @@
 
     private LoadPlot() {}
 
-    /** Writes the picture as a PNG file. */
+    /** Writes the image as a PNG file. */
     static void write(LoadReport report, Path file) throws IOException {
         System.setProperty("java.awt.headless", "true");
         Map<String, TreeMap<Long, LoadReport.Second>> services = report.seconds();
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadReport.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadReport.java
@@ -23,31 +23,34 @@
 import java.util.TreeMap;
 
 /**
- * Gathers from log lines, by service and second, what came in and what became of it. Lines may come in any order of
- * entries; what a line does not tell is not guessed.
+ * Aggregates log lines by service and second: the accepted jobs and their results. Lines of different entries may come
+ * in any order; missing information is not guessed.
  */
 final class LoadReport {
 
     private static final int MILLIS_PER_SECOND = 1_000;
-    // Millis since 1970 of a day in 1973: what is less counts from a begin of its own.
+    // A time in 1973 as milliseconds since 1970; smaller values are relative to the start of the log.
     private static final long MIN_EPOCH_MILLIS = 100_000_000_000L;
 
     private final Map<String, JobTrace> jobs = new HashMap<>();
     private final Map<String, Long> acceptedAt = new HashMap<>();
     private final Map<String, TreeMap<Long, Second>> seconds = new TreeMap<>();
-    /** From when on seconds count: the first line, where lines tell the time of day. */
+    /** The time that counts as second 0: the first line if lines have the time of day, otherwise 0. */
     private long originMillis = JobTrace.UNKNOWN;
 
     private long refused;
     private long lastLineAt = JobTrace.UNKNOWN;
 
-    /** What one second of one service has seen. */
+    /** The events and load of one service in one second. */
     static final class Second {
         int accepted;
         int placed;
         int movedIn;
         int movedOut;
-        /** By the newest line of its owner in this second; -1 without one. */
+        /**
+         * From the latest line of the owner in this second; -1 if there is none. The same holds for the next four
+         * fields.
+         */
         long workers = -1;
 
         long silent = -1;
@@ -56,15 +59,15 @@
         long hopeless = -1;
         final List<Long> firstStarts = new ArrayList<>();
         final Map<JobTrace.ObjectiveResult, Integer> ends = new EnumMap<>(JobTrace.ObjectiveResult.class);
-        /** Why jobs missed their objective, of those that were accepted in this second. */
+        /** Causes of missed objectives among the jobs accepted in this second. */
         final Map<Cause, Integer> causes = new EnumMap<>(Cause.class);
 
-        /** Returns how many jobs missed their objective. */
+        /** Returns the number of jobs that missed their objective. */
         int missed() {
             return causes.values().stream().mapToInt(Integer::intValue).sum();
         }
 
-        /** Returns another second that has seen the same lines, and no jobs yet. */
+        /** Returns a copy without the counts of jobs. */
         private Second copyWithoutJobs() {
             Second s = new Second();
             s.placed = placed;
@@ -79,7 +82,7 @@
         }
     }
 
-    /** Takes in a line; one that tells nothing of jobs is passed over. */
+    /** Adds a log line; ignores lines that do not concern jobs. */
     void add(String text) {
         LogLine.parse(text).ifPresent(this::add);
     }
@@ -97,7 +100,7 @@
             case "service-load" -> onServiceLoad(line);
             case "fleet" -> onFleet(line);
             default -> {
-                // Not about load.
+                // Other events do not concern the load.
             }
         }
     }
@@ -144,7 +147,7 @@
             case "DONE" ->
                 j.addRun(line.text("task"), line.number("took-millis", 0) - line.number("expected-millis", 0));
             default -> {
-                // Says nothing of why the job is late.
+                // Other outcomes do not explain why the job is late.
             }
         }
     }
@@ -179,7 +182,7 @@
                 .computeIfAbsent(Math.floorDiv(atMillis, MILLIS_PER_SECOND), t -> new Second());
     }
 
-    /** Returns what each second of each service has seen; a job counts in the second in which it was accepted. */
+    /** Returns the seconds of each service; a job counts in the second in which it was accepted. */
     Map<String, TreeMap<Long, Second>> seconds() {
         assignAcceptTimes();
         Map<String, TreeMap<Long, Second>> byService = new TreeMap<>();
@@ -206,7 +209,7 @@
         return byService;
     }
 
-    /** Returns for each service how many jobs missed their objective, by cause. */
+    /** Returns the number of jobs that missed their objective, by service and cause. */
     Map<String, Map<Cause, Integer>> causes() {
         assignAcceptTimes();
         Map<String, Map<Cause, Integer>> byService = new TreeMap<>();
@@ -220,7 +223,7 @@
         return byService;
     }
 
-    /** Returns how many times a job was not taken. */
+    /** Returns the number of submissions that were not accepted. */
     long refused() {
         return refused;
     }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadTable.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LoadTable.java
@@ -23,16 +23,16 @@
 import java.util.TreeMap;
 import java.util.stream.Collectors;
 
-/** Writes a {@link LoadReport} as a table of text. */
+/** Formats a {@link LoadReport} as a text table. */
 final class LoadTable {
 
     private static final double MILLIS = 1_000;
-    // As many as a turn of high demand has.
+    // The length of a burst of the load in seconds.
     private static final int WORST_SECONDS = 5;
 
     private LoadTable() {}
 
-    /** Returns the table's lines: the causes first, then each service second by second. */
+    /** Returns the lines of the table: the causes first, then each service second by second. */
     static List<String> lines(LoadReport report) {
         List<String> lines = new ArrayList<>();
         lines.add("jobs not taken, tries: " + report.refused());
@@ -45,7 +45,7 @@
         return lines;
     }
 
-    /** Adds the seconds in which most jobs were accepted that missed their objective, the worst first. */
+    /** Adds the seconds with the most accepted jobs that missed their objective, the worst first. */
     private static void addWorst(List<String> lines, String service, TreeMap<Long, LoadReport.Second> seconds) {
         List<Map.Entry<Long, LoadReport.Second>> worst = seconds.entrySet().stream()
                 .filter(e -> e.getValue().missed() > 0)
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/LogLine.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/LogLine.java
@@ -26,12 +26,12 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of an entry's log.
+ * A line of an entry's log.
  *
- * @param atMillis when it was written: by the number of seconds that whoever gathered the lines has put in front, else
- *     by the line's own time of day
- * @param event the event's name
- * @param fields the other pairs; those inside a quoted {@code why} are among them
+ * @param atMillis when it was written: the relative time in seconds that a log collector has put in front, otherwise
+ *     the timestamp of the line itself
+ * @param event the name of the event
+ * @param fields the other fields, including those inside a quoted {@code why}
  */
 record LogLine(long atMillis, String event, Map<String, String> fields) {
 
@@ -43,7 +43,7 @@
     private static final String EVENT_KEY = "event=";
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    /** Returns the event of a line, or nothing where the line has none or no time. */
+    /** Parses a line; returns nothing if it has no event or no time. */
     static Optional<LogLine> parse(String line) {
         int start = line.indexOf(EVENT_KEY);
         if (start < 0) {
@@ -79,17 +79,17 @@
             LocalDateTime t = LocalDateTime.parse(timestamp.group(1), TIMESTAMP_FORMAT);
             return Optional.of(t.toInstant(ZoneOffset.UTC).toEpochMilli());
         } catch (DateTimeParseException e) {
-            // Not a time of day after all, as in a line that was cut.
+            // Not a valid timestamp, for example in a truncated line.
             return Optional.empty();
         }
     }
 
-    /** Returns a field's text; empty where there is none. */
+    /** Returns the text of a field, or an empty string if it is missing. */
     String text(String field) {
         return fields.getOrDefault(field, "");
     }
 
-    /** Returns a field's whole number, or the other where there is none. */
+    /** Returns the integer value of a field, or the default if it is missing or not an integer. */
     long number(String field, long defaultValue) {
         try {
             return Long.parseLong(text(field));
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Returns whether this is a decision of the kind. */
+    /** Returns whether this line logs a decision of the given kind. */
     boolean isDecision(String kind) {
         return event.equals("decision") && text("kind").equals(kind);
     }
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/ReportCommand.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/ReportCommand.java
@@ -24,15 +24,17 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** {@code lupinctl report LOG [PICTURE.png]}: reads the gathered lines of all entries; asks no entry. */
+/**
+ * {@code lupinctl report LOG [PICTURE.png]}: evaluates the collected log lines of all entries without contacting one.
+ */
 public final class ReportCommand {
 
-    /** How the command is called. */
+    /** The syntax of the command. */
     public static final String USAGE = "report LOG [PICTURE.png]";
 
     private ReportCommand() {}
 
-    /** Returns the table of a file of log lines, and draws it where a picture's path is given. */
+    /** Returns the table for a log file, and writes the plot if an image path is given. */
     public static List<String> run(List<String> arguments) throws IOException {
         if (arguments.isEmpty() || arguments.size() > 2) {
             throw new IllegalArgumentException("wrong number of words; use " + USAGE);
--- a/ctl/src/main/java/org/lupinpaddle/ctl/report/package-info.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/report/package-info.java
@@ -13,7 +13,7 @@
  * See the License for the specific language governing permissions and
  * limitations under the License.
  */
-/** What the log lines of entries tell of the load and of where jobs waited: {@code lupinctl report}. */
+/** Evaluates the log lines of entries to show the load and where jobs waited: {@code lupinctl report}. */
 @NullMarked
 package org.lupinpaddle.ctl.report;
 
--- a/ctl/src/test/java/org/lupinpaddle/ctl/report/ReportCommandTest.java
+++ b/ctl/src/test/java/org/lupinpaddle/ctl/report/ReportCommandTest.java
@@ -45,7 +45,7 @@
         return line(seconds, "event=decision kind=" + kind + " service=clips fence=3 job=q/" + job + " " + rest);
     }
 
-    /** A job that waits from 10.1 until 13.0 s for room, and ends at 14.0 s; its objective is 2 s. */
+    /** Lines of a job that waits for room from 10.1 to 13.0 s and ends at 14.0 s; its objective is 2 s. */
     private static List<String> lateJob() {
         return List.of(
                 line(10.0, "event=accept job=00000000000000aa host=h path=/q/00000000000000aa outcome=ACCEPTED"),
@@ -107,7 +107,10 @@
             assertEquals(Map.of("clips", Map.of(Cause.OWNER, 1)), report(lines).causes());
         }
 
-        /** A job whose first step is placed at once; what follows is given, and it ends 3 s after its begin, not 2. */
+        /**
+         * Returns the causes for a job whose first step is placed immediately and that ends 3 s after its start instead
+         * of 2, with the given lines in between.
+         */
         private Map<String, Map<Cause, Integer>> causesWith(String... lines) {
             List<String> all = new ArrayList<>(List.of(
                     lateJob().get(0),
