--- a/model/src/main/java/org/lupinpaddle/model/Sabotage.java
+++ b/model/src/main/java/org/lupinpaddle/model/Sabotage.java
@@ -21,7 +21,7 @@
     NONE,
     /** Workers receive the same fencing token from every owner. */
     NO_FENCES,
-    /** Owners acknowledge the ends of runs as soon as a worker reports them, before they are stored. */
+    /** Each hold acknowledges all ends of runs, so workers forget an end as soon as they have reported it. */
     ENDS_FORGOTTEN_EARLY,
     /** A new owner of the fleet cannot read which instances its predecessor has ordered recently. */
     RECENT_ORDERS_UNTOLD,
--- a/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
@@ -26,9 +26,9 @@
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /**
- * The workspaces of a history. Each caller belongs to one; one of them submits a burst of jobs, and configuration changes lower
- * and raise quotas and replace, revoke and restore keys. Uses its own random generator, so that histories without workspaces
- * do not change.
+ * The workspaces of a history. Each caller belongs to one; one of them submits a burst of jobs, and configuration
+ * changes lower and raise quotas and replace, revoke and restore keys. Uses its own random generator, so that
+ * histories without workspaces do not change.
  */
 final class SimWorkspaces {
 
--- a/model/src/main/java/org/lupinpaddle/model/Site.java
+++ b/model/src/main/java/org/lupinpaddle/model/Site.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Returns a site with 306 instances in six halls and two kinds of entries: 18 with 1.5 cores at 200 Mbit/s and 29
-     * with 0.36 cores at 20 Mbit/s.
+     * Returns a site with 306 instances in six halls and two kinds of entries: 18 with 0.75 fast cores, which count as
+     * 1.5, at 200 Mbit/s, and 29 with 0.36 cores at 20 Mbit/s.
      */
     static Site withTwoEntryKinds(int textBytes) {
         return new Site(
