--- a/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
+++ b/ctl/src/main/java/org/lupinpaddle/ctl/LupinctlMain.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.ctl.report.ReportCommand;
 
 /**
- * The operators' tool. It reads the words of a command itself, so that wrong words are told without asking
- * anybody, and sends them as they are to an entry. Three commands are its own: {@code load FILE} runs a
- * file of commands, a line each, {@code wave watch NAME} asks until a wave has ended, and {@code report LOG} reads the
- * lines that entries have written.
+ * The operators' command-line tool. It validates a command locally, so that errors are reported without contacting an
+ * entry, and sends the command unchanged to an entry. It implements three commands itself: {@code load FILE} runs a
+ * file with one command per line, {@code wave watch NAME} polls a wave until it has ended, and {@code report LOG}
+ * evaluates the log lines of entries.
  */
 public final class LupinctlMain {
 
@@ -44,7 +44,7 @@
         this.options = options;
     }
 
-    /** Runs the command that the arguments name. */
+    /** Runs the command in the arguments. */
     public static void main(String[] args) {
         System.exit(run(args).code());
     }
@@ -83,7 +83,7 @@
         if (words.size() == 3 && words.subList(0, 2).equals(List.of("wave", "watch"))) {
             return watch(words.get(2));
         }
-        checkWords(words);
+        validate(words);
         try (EntryClient client = client()) {
             return print(client.send(line(words)));
         }
@@ -103,7 +103,7 @@
         return ExitCode.DONE;
     }
 
-    private static void checkWords(List<String> words) throws ToolException {
+    private static void validate(List<String> words) throws ToolException {
         Either<String, OperatorCommand> command = CommandParser.parse(words);
         if (command.isLeft()) {
             throw new ToolException(ExitCode.WRONG_WORDS, command.getLeft());
@@ -119,10 +119,10 @@
     }
 
     private static String line(List<String> words) {
-        return words.stream().map(LupinctlMain::quoted).collect(Collectors.joining(" "));
+        return words.stream().map(LupinctlMain::quote).collect(Collectors.joining(" "));
     }
 
-    private static String quoted(String word) {
+    private static String quote(String word) {
         boolean plain = !word.isEmpty() && word.chars().noneMatch(c -> Character.isWhitespace(c) || c == '\'');
         return plain ? word : '"' + word + '"';
     }
@@ -149,7 +149,7 @@
         }
     }
 
-    // A line that was refused or is not known stops the rest, so that a later line never builds on it.
+    // Stops at the first line that was refused or whose outcome is unknown, so that no later line builds on it.
     private ExitCode load(Path file, List<String> lines, EntryClient client) throws ToolException {
         for (int n = 0; n < lines.size(); n++) {
             List<String> words = CommandParser.split(lines.get(n).replaceFirst("#.*", ""));
@@ -166,16 +166,16 @@
     }
 
     private ExitCode watch(String wave) throws Exception {
-        String before = "";
+        String previous = "";
         try (EntryClient client = client()) {
             while (true) {
                 JsonNode answer = client.send("wave show " + wave);
                 String state = answer.path("data").path("state").asText();
                 String text = answer.path("lines").toString();
-                if (!text.equals(before)) {
+                if (!text.equals(previous)) {
                     print(answer);
                 }
-                before = text;
+                previous = text;
                 if (!state.equals("RUNNING") && !state.equals("PAUSED")) {
                     return state.equals("DONE") ? ExitCode.DONE : ExitCode.REFUSED;
                 }
--- a/model/src/main/java/org/lupinpaddle/model/WorkBound.java
+++ b/model/src/main/java/org/lupinpaddle/model/WorkBound.java
@@ -18,9 +18,10 @@
 import java.util.List;
 
 /**
- * An upper bound of the work that can be done in time, for a planner that knows all work in advance. Work may be cut
- * into any parts and done on any instance, and no instance takes time to change its pool: no real planner can do more.
- * What the product does in time is held against it, to tell what nobody could have served from what was decided wrongly.
+ * Computes an upper bound on the work that can be finished by its deadlines, for a scheduler that knows all work in
+ * advance. Work may be split arbitrarily and run on any instance, and moving an instance between pools takes no time,
+ * so no real scheduler can do more. Comparing the product's result with this bound separates work that nobody could
+ * have finished in time from work that was scheduled badly.
  */
 final class WorkBound {
 
@@ -28,46 +29,49 @@
     private final long[] cpuBySlot;
 
     /**
-     * A piece of work, such as a step of a job.
+     * An item of work, such as a step of a job.
      *
-     * @param fromMillis when it can begin at the earliest, with all that goes before it done at once
-     * @param untilMillis by when it must be over, for all that follows it to end in time
-     * @param mostCpu how many thousandths of a core its tasks take together
-     * @param cpuMillis how much it is, in thousandths of a core x milliseconds
+     * @param earliestStartMillis the earliest start, if everything before it finishes immediately
+     * @param deadlineMillis the latest end that still lets everything after it end in time
+     * @param maxCpu the CPU that all its tasks use together, in thousandths of a core
+     * @param cpuMillis the amount of work, in thousandths of a core x milliseconds
      */
-    record Work(long fromMillis, long untilMillis, long mostCpu, long cpuMillis) {
+    record Work(long earliestStartMillis, long deadlineMillis, long maxCpu, long cpuMillis) {
 
-        /** Returns how much of it can be done between two moments. */
-        long between(long begin, long end) {
-            return mostCpu * Math.max(0, Math.min(end, untilMillis) - Math.max(begin, fromMillis));
+        /** Returns how much of this work can be done between two times. */
+        long maxCpuMillisBetween(long begin, long end) {
+            return maxCpu * Math.max(0, Math.min(end, deadlineMillis) - Math.max(begin, earliestStartMillis));
         }
     }
 
-    /** Makes the bound of a fleet that has so many thousandths of a core in each slot of time, the first from 0. */
+    /**
+     * Creates the bound for a fleet with the given CPU, in thousandths of a core, in each time slot; the first slot
+     * starts at 0.
+     */
     WorkBound(long slotMillis, long[] cpuBySlot) {
         this.slotMillis = slotMillis;
         this.cpuBySlot = cpuBySlot.clone();
     }
 
-    /** Returns how much of the work can be done in time at most, in thousandths of a core x milliseconds. */
-    long most(List<Work> all) {
+    /** Returns the maximum amount of work that can be done in time, in thousandths of a core x milliseconds. */
+    long maxCpuMillis(List<Work> items) {
         int slots = cpuBySlot.length;
-        int sink = all.size() + slots + 1;
+        int sink = items.size() + slots + 1;
         MaxFlow flow = new MaxFlow(sink + 1);
-        for (int w = 0; w < all.size(); w++) {
-            flow.connect(0, 1 + w, all.get(w).cpuMillis());
-            connectSlots(flow, 1 + w, all.get(w), 1 + all.size());
+        for (int w = 0; w < items.size(); w++) {
+            flow.addEdge(0, 1 + w, items.get(w).cpuMillis());
+            addSlotEdges(flow, 1 + w, items.get(w), 1 + items.size());
         }
         for (int s = 0; s < slots; s++) {
-            flow.connect(1 + all.size() + s, sink, cpuBySlot[s] * slotMillis);
+            flow.addEdge(1 + items.size() + s, sink, cpuBySlot[s] * slotMillis);
         }
-        return flow.most(0, sink);
+        return flow.maxFlow(0, sink);
     }
 
-    private void connectSlots(MaxFlow flow, int node, Work w, int firstSlot) {
-        long first = Math.max(0, w.fromMillis() / slotMillis);
-        for (long s = first; s < cpuBySlot.length && s * slotMillis < w.untilMillis(); s++) {
-            flow.connect(node, firstSlot + (int) s, w.between(s * slotMillis, (s + 1) * slotMillis));
+    private void addSlotEdges(MaxFlow flow, int node, Work w, int firstSlot) {
+        long first = Math.max(0, w.earliestStartMillis() / slotMillis);
+        for (long s = first; s < cpuBySlot.length && s * slotMillis < w.deadlineMillis(); s++) {
+            flow.addEdge(node, firstSlot + (int) s, w.maxCpuMillisBetween(s * slotMillis, (s + 1) * slotMillis));
         }
     }
 }
--- /dev/null
+++ b/model/src/test/java/org/lupinpaddle/model/WorkerRestartsTest.java
@@ -0,0 +1,78 @@
+/*
+ * Copyright 2026 The lupinpaddle authors
+ *
+ * Licensed under the Apache License, Version 2.0 (the "License");
+ * you may not use this file except in compliance with the License.
+ * You may obtain a copy of the License at
+ *
+ *      http://www.apache.org/licenses/LICENSE-2.0
+ *
+ * Unless required by applicable law or agreed to in writing, software
+ * distributed under the License is distributed on an "AS IS" BASIS,
+ * WITHOUT WARRANTIES OR CONDITIONS OF ANY KIND, either express or implied.
+ * See the License for the specific language governing permissions and
+ * limitations under the License.
+ */
+package org.lupinpaddle.model;
+
+import static org.junit.jupiter.api.Assertions.fail;
+
+import java.util.stream.LongStream;
+import org.junit.jupiter.api.Nested;
+import org.junit.jupiter.api.Test;
+
+/** Histories in which workers crash and start again under their ids. */
+class WorkerRestartsTest {
+
+    private static void assertRulesHold(long seed, int faults, World w) {
+        try {
+            w.run();
+        } catch (RuleViolationException e) {
+            fail("seed " + seed + " with up to " + faults + " faults: " + e.getMessage() + "\n"
+                    + String.join("\n", w.history()));
+        }
+    }
+
+    /**
+     * With this seed a job that causes no crash was given up: two of the three workers that it lost had crashed while
+     * unreachable, after its runs had ended.
+     */
+    private static final long SEED_WITH_JOB_GIVEN_UP = 76;
+
+    @Nested
+    class SeededHistories {
+
+        /** Guards against attributing the results of a later incarnation of a worker to an earlier one. */
+        @Test
+        void satisfyRulesWithoutOtherFaults() {
+            LongStream.range(0, 100)
+                    .filter(seed -> seed != SEED_WITH_JOB_GIVEN_UP)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 0, new World(seed, 0).withRestarts(seed)));
+        }
+
+        /** Guards against giving up a job whose workers crashed for other reasons. */
+        @Test
+        void doNotGiveUpJobsForCrashesOfUnreachableWorkers() {
+            long seed = SEED_WITH_JOB_GIVEN_UP;
+            assertRulesHold(seed, 0, new World(seed, 0).withRestarts(seed));
+        }
+
+        /** Guards against the same faults while owners change, halls are cut off and the store is unavailable. */
+        @Test
+        void satisfyRulesUnderOtherFaults() {
+            LongStream.range(0, 200)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(seed, 6, new World(seed, 6).withRestarts(seed)));
+        }
+
+        /** Guards against starting crashing tasks without end because their workers return under their ids. */
+        @Test
+        void satisfyRulesWithCrashingTasks() {
+            LongStream.range(0, 100)
+                    .parallel()
+                    .forEach(seed -> assertRulesHold(
+                            seed, 6, new World(seed, 6).withCrashingTasks(seed).withRestarts(seed)));
+        }
+    }
+}
