--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WorkerProbe.java
@@ -69,7 +69,8 @@
                     public void onComplete(Result result) {
                         boolean success =
                                 result.isSucceeded() && result.getResponse().getStatus() == OK;
-                        WorkerStatus observation = success ? parse(getContentAsString(StandardCharsets.UTF_8), sentAt) : null;
+                        WorkerStatus observation =
+                                success ? parse(getContentAsString(StandardCharsets.UTF_8), sentAt) : null;
                         loop.execute(() -> onProbeResult(instance.id(), observation, sentAt));
                     }
                 });
--- a/model/src/main/java/org/lupinpaddle/model/SimFleet.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimFleet.java
@@ -316,7 +316,8 @@
         return f;
     }
 
-    CompletableFuture<InstanceOrderOutcome> order(Network net, String id, InstanceOperation errand, String holder, long fence) {
+    CompletableFuture<InstanceOrderOutcome> order(
+            Network net, String id, InstanceOperation errand, String holder, long fence) {
         CompletableFuture<InstanceOrderOutcome> f = new CompletableFuture<>();
         net.deliver(net.latency(), () -> {
             InstanceOrderOutcome o = carryOut(instances.get(id), errand, holder, fence);
@@ -325,7 +326,8 @@
         return f;
     }
 
-    private InstanceOrderOutcome carryOut(@Nullable SimInstance instance, InstanceOperation errand, String holder, long fence) {
+    private InstanceOrderOutcome carryOut(
+            @Nullable SimInstance instance, InstanceOperation errand, String holder, long fence) {
         if (instance == null) {
             return InstanceOrderOutcome.IMPOSSIBLE;
         }
@@ -385,6 +387,7 @@
                 .map(instances::get)
                 .filter(o -> o != null && o.state == State.UPKEEP)
                 .count();
-        rules.require(Rules.Rule.WAVE, down < w.maxDown(), instance.id + " goes down while " + down + " of the wave are");
+        rules.require(
+                Rules.Rule.WAVE, down < w.maxDown(), instance.id + " goes down while " + down + " of the wave are");
     }
 }
