--- a/core/src/main/java/org/lupinpaddle/core/service/MemberReconciler.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/MemberReconciler.java
@@ -30,7 +30,7 @@
     private MemberReconciler() {}
 
     /** Returns the ledger with all joiners of the view added, if there are any. */
-    public static Optional<ServiceRecord> withJoiners(FleetView view, ServiceRecord service, String writeId) {
+    public static Optional<ServiceRecord> withNewMembers(FleetView view, ServiceRecord service, String writeId) {
         ServiceRecord next = service;
         for (InstanceRecord i : view.instancesOf(service.name())) {
             if (i.state() == InstanceState.IN_SERVICE && !service.members().contains(i.id())) {
@@ -41,7 +41,7 @@
     }
 
     /** Returns how many instances must stay available: the budget and what the reserve holds back. */
-    public static int floor(FleetView view, ServiceRecord service) {
+    public static int minAvailable(FleetView view, ServiceRecord service) {
         return service.budget()
                 + service.reserve()
                         .size(service.members().stream()
--- a/core/src/main/java/org/lupinpaddle/core/service/ServiceRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/ServiceRecord.java
@@ -58,13 +58,13 @@
                 .count();
     }
 
-    /** Returns whether one more member may leave when {@code floor} must stay available. */
-    public boolean mayRelease(String instance, Set<String> failed, int floor) {
+    /** Returns whether one more member may leave when {@code minAvailable} must stay available. */
+    public boolean canRelease(String instance, Set<String> failed, int minAvailable) {
         if (!members.contains(instance) || permits.containsKey(instance)) {
             return false;
         }
         int cost = failed.contains(instance) ? 0 : 1;
-        return available(failed) - cost >= floor;
+        return available(failed) - cost >= minAvailable;
     }
 
     /** Returns the ledger with a permit added. */
--- a/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WavePlanner.java
@@ -88,7 +88,7 @@
         int rounds = planner.planRounds(blockers);
         int reserve = planner.affectedServices(targets).stream()
                 .map(view.services()::get)
-                .mapToInt(s -> MemberReconciler.floor(view, s) - s.budget())
+                .mapToInt(s -> MemberReconciler.minAvailable(view, s) - s.budget())
                 .sum();
         return new WavePlan(
                 planner.steps, blockers, rounds, rounds * ROUND_MILLIS, targets.size(), planner.maxConcurrent, reserve);
@@ -165,7 +165,7 @@
         ServiceRecord s = view.services().get(service);
         return s == null
                 || members.getOrDefault(service, 0) - out.getOrDefault(service, 0) - 1
-                        >= MemberReconciler.floor(view, s);
+                        >= MemberReconciler.minAvailable(view, s);
     }
 
     private String reason(@Nullable String service, WaveTarget t) {
@@ -173,7 +173,7 @@
             return "spare: no budget holds it" + (t.toPool() == null ? "" : "; joins " + t.toPool());
         }
         ServiceRecord s = view.services().get(service);
-        int floor = s == null ? 0 : MemberReconciler.floor(view, s);
+        int floor = s == null ? 0 : MemberReconciler.minAvailable(view, s);
         return service + " keeps " + floor + " of " + members.getOrDefault(service, 0)
                 + (t.toPool() == null ? "" : "; goes to " + t.toPool());
     }
@@ -198,7 +198,7 @@
         if (s == null) {
             return "instance " + t.instance() + " can not be taken out";
         }
-        int reserve = MemberReconciler.floor(view, s) - s.budget();
+        int reserve = MemberReconciler.minAvailable(view, s) - s.budget();
         return "service " + service + " has " + members.getOrDefault(service, 0) + " available, its budget is "
                 + s.budget() + " and its reserve " + reserve + ": none may leave";
     }
--- a/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
+++ b/core/src/main/java/org/lupinpaddle/core/wave/WaveStepper.java
@@ -205,7 +205,7 @@
         }
         ServiceRecord s = current(service.get());
         boolean counted = service.get().members().contains(i.id());
-        if (counted && s.mayRelease(i.id(), status.failed(), floor(s))) {
+        if (counted && s.canRelease(i.id(), status.failed(), floor(s))) {
             String id = writeIds.get();
             Permit p =
                     new Permit(id, i.id(), wave.name(), status.statusOf(i.id()).incarnation());
@@ -306,7 +306,7 @@
 
     private void addJoiners(ServiceRecord service) {
         if (joinersChecked.add(service.name())) {
-            MemberReconciler.withJoiners(view, service, writeIds.get()).ifPresent(s -> services.put(s.name(), s));
+            MemberReconciler.withNewMembers(view, service, writeIds.get()).ifPresent(s -> services.put(s.name(), s));
         }
     }
 
@@ -315,7 +315,7 @@
     }
 
     private int floor(ServiceRecord s) {
-        return floors.computeIfAbsent(s.name(), n -> MemberReconciler.floor(view, s));
+        return floors.computeIfAbsent(s.name(), n -> MemberReconciler.minAvailable(view, s));
     }
 
     // Returning instances count as available, otherwise each pass would return one more.
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
@@ -236,7 +236,7 @@
         private int reserveHeld() {
             FleetView v = store.view();
             return v.services().values().stream()
-                    .mapToInt(s -> MemberReconciler.floor(v, s) - s.budget())
+                    .mapToInt(s -> MemberReconciler.minAvailable(v, s) - s.budget())
                     .sum();
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
@@ -173,7 +173,7 @@
         List<String> lines = all.stream()
                 .map(s -> s.name() + "  budget " + s.budget() + "  reserve "
                         + s.reserve().name().toLowerCase(Locale.ROOT) + " (keeps "
-                        + MemberReconciler.floor(view(), s) + ")  members "
+                        + MemberReconciler.minAvailable(view(), s) + ")  members "
                         + s.members().size() + "  out on purpose "
                         + s.permits().keySet() + (s.retired() ? "  retired" : "") + "  set by " + s.operator())
                 .toList();
@@ -298,7 +298,7 @@
             return "stays: the wave is " + w.state();
         }
         return view().serviceOf(i)
-                .map(s -> "waits for its turn: service " + s.name() + " keeps " + MemberReconciler.floor(view(), s)
+                .map(s -> "waits for its turn: service " + s.name() + " keeps " + MemberReconciler.minAvailable(view(), s)
                         + ", " + s.available(java.util.Set.of()) + " available")
                 .orElse("waits for its turn");
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/WaveDriver.java
@@ -289,7 +289,7 @@
             String key = StoreKeys.service(service.name());
             if (!pendingWrites.contains(key) && ranksFirstFor(service.name())) {
                 String writeId = UUID.randomUUID().toString();
-                MemberReconciler.withJoiners(view, service, writeId)
+                MemberReconciler.withNewMembers(view, service, writeId)
                         .ifPresent(next -> write(key, next, writeId, view.revisionOf(key)));
             }
         }
