--- a/core/src/main/java/org/lupinpaddle/core/instance/InstanceRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/InstanceRecord.java
@@ -51,7 +51,7 @@
         List<String> doneWaves) {
 
     // Waves that cover the same instance can overlap only when two operators start them at one moment.
-    private static final int DONE_WAVES_KEPT = 4;
+    private static final int MAX_DONE_WAVES = 4;
 
     /** Returns whether the wave has finished with the instance. */
     public boolean isDoneBy(String waveName) {
@@ -72,7 +72,7 @@
     public Builder toBuilder() {
         return new Builder(id)
                 .pool(pool)
-                .place(hall, rack)
+                .location(hall, rack)
                 .address(address)
                 .size(slots, memoryMb)
                 .state(state)
@@ -102,66 +102,66 @@
         }
 
         /** Sets the pool. */
-        public Builder pool(String p) {
-            this.pool = p;
+        public Builder pool(String newPool) {
+            this.pool = newPool;
             return this;
         }
 
         /** Sets the data hall and the rack. */
-        public Builder place(String h, String r) {
-            this.hall = h;
-            this.rack = r;
+        public Builder location(String newHall, String newRack) {
+            this.hall = newHall;
+            this.rack = newRack;
             return this;
         }
 
         /** Sets the worker's IP and port. */
-        public Builder address(String a) {
-            this.address = a;
+        public Builder address(String newAddress) {
+            this.address = newAddress;
             return this;
         }
 
         /** Sets the number of slots and the memory in megabytes. */
-        public Builder size(int s, int mb) {
-            this.slots = s;
-            this.memoryMb = mb;
+        public Builder size(int newSlots, int newMemoryMb) {
+            this.slots = newSlots;
+            this.memoryMb = newMemoryMb;
             return this;
         }
 
         /** Sets the state. */
-        public Builder state(InstanceState s) {
-            this.state = s;
+        public Builder state(InstanceState newState) {
+            this.state = newState;
             return this;
         }
 
         /** Sets the incarnation. */
-        public Builder incarnation(long i) {
-            this.incarnation = i;
+        public Builder incarnation(long newIncarnation) {
+            this.incarnation = newIncarnation;
             return this;
         }
 
         /** Sets the wave that holds the instance. */
-        public Builder wave(@Nullable String w) {
-            this.wave = w;
+        public Builder wave(@Nullable String newWave) {
+            this.wave = newWave;
             return this;
         }
 
         /** Sets the permit that is spent. */
-        public Builder spentPermit(@Nullable String p) {
-            this.spentPermit = p;
+        public Builder spentPermit(@Nullable String permitId) {
+            this.spentPermit = permitId;
             return this;
         }
 
         /** Sets the last waves that finished with the instance. */
-        public Builder doneWaves(List<String> w) {
-            this.doneWaves = List.copyOf(w);
+        public Builder doneWaves(List<String> waveNames) {
+            this.doneWaves = List.copyOf(waveNames);
             return this;
         }
 
         /** Adds a wave that has finished with the instance. */
-        public Builder doneBy(String w) {
-            this.doneWaves = Stream.concat(Stream.of(w), doneWaves.stream())
+        public Builder doneBy(String waveName) {
+            this.doneWaves = Stream.concat(Stream.of(waveName), doneWaves.stream())
                     .distinct()
-                    .limit(DONE_WAVES_KEPT)
+                    .limit(MAX_DONE_WAVES)
                     .toList();
             return this;
         }
--- a/core/src/main/java/org/lupinpaddle/core/instance/InstanceState.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/InstanceState.java
@@ -31,21 +31,21 @@
     /** Taken out of the fleet for good. */
     RETIRED(false, false);
 
-    private final boolean takesWork;
-    private final boolean canBePutBack;
+    private final boolean acceptsWork;
+    private final boolean canUndrain;
 
-    InstanceState(boolean takesWork, boolean canBePutBack) {
-        this.takesWork = takesWork;
-        this.canBePutBack = canBePutBack;
+    InstanceState(boolean acceptsWork, boolean canUndrain) {
+        this.acceptsWork = acceptsWork;
+        this.canUndrain = canUndrain;
     }
 
     /** Returns whether new work may be sent to an instance in this state. */
-    public boolean takesWork() {
-        return takesWork;
+    public boolean acceptsWork() {
+        return acceptsWork;
     }
 
     /** Returns whether a drain in this state can still be taken back. */
-    public boolean canBePutBack() {
-        return canBePutBack;
+    public boolean canUndrain() {
+        return canUndrain;
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
@@ -112,7 +112,7 @@
             FleetView v = store.view();
             InstanceRecord i = InstanceRecord.builder(id)
                     .pool(pool)
-                    .place(hall, rack)
+                    .location(hall, rack)
                     .address(id)
                     .build();
             store.put(StoreKeys.shardOf(id), v.shardOf(id).with(i, "m"));
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetSimulation.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetSimulation.java
@@ -108,7 +108,7 @@
         FleetView v = store.view();
         InstanceRecord i = InstanceRecord.builder(id)
                 .pool(pool)
-                .place("north", rack)
+                .location("north", rack)
                 .address(id)
                 .size(8, 1_000)
                 .build();
@@ -287,7 +287,7 @@
         // With the rule disabled the worker does not refuse work either, so only the confirmation by the entries
         // is left.
         boolean refuses = w.leaving && disabledRule != DisabledRule.CONFIRMATION_AND_IDLE;
-        if (i != null && i.state().takesWork() && w.up && !refuses && w.running < 8) {
+        if (i != null && i.state().acceptsWork() && w.up && !refuses && w.running < 8) {
             w.running++;
         }
     }
--- a/core/src/test/java/org/lupinpaddle/core/wave/StepTimingExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/StepTimingExperiment.java
@@ -56,7 +56,7 @@
             String id = "instance" + i;
             InstanceRecord r = InstanceRecord.builder(id)
                     .pool(pool)
-                    .place("north", "rack" + i / 4)
+                    .location("north", "rack" + i / 4)
                     .address("10.0.0.1:8000")
                     .size(8, 32_768)
                     .build();
--- a/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
@@ -249,7 +249,7 @@
 
     // Leaving is believed from whoever says so first; the list only for the incarnation it speaks of.
     private boolean isUsable(InstanceRecord i) {
-        return i.state().takesWork() && peers.leavingIncarnation(i.id()) < Math.max(1, i.incarnation());
+        return i.state().acceptsWork() && peers.leavingIncarnation(i.id()) < Math.max(1, i.incarnation());
     }
 
     /**
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
@@ -192,7 +192,7 @@
             on(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.UNUSED));
             return;
         }
-        if (worker == null || !worker.state().takesWork()) {
+        if (worker == null || !worker.state().acceptsWork()) {
             // Granted before the owner of the slots knew that the worker is leaving.
             on(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.REFUSED_LEAVING));
             return;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeDecider.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeDecider.java
@@ -181,7 +181,7 @@
         }
         InstanceRecord next = InstanceRecord.builder(c.id())
                 .pool(c.pool())
-                .place(c.hall(), c.rack())
+                .location(c.hall(), c.rack())
                 .address(c.address())
                 .size(c.slots(), c.memoryMb())
                 .build();
