--- a/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
+++ b/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
@@ -29,7 +29,7 @@
 public final class OwnerRank {
 
     /** What an entry can do that has not told: a whole core, in thousandths of one. */
-    public static final long USUAL_CAPACITY = 1_000;
+    public static final long DEFAULT_CAPACITY = 1_000;
 
     private final Map<String, Integer> owned;
     private final Map<String, Long> capacities;
@@ -46,7 +46,7 @@
     }
 
     /** Returns the place of an entry among all for a duty, from 0. */
-    public int of(String entry, String duty, Collection<String> entries) {
+    public int position(String entry, String duty, Collection<String> entries) {
         List<String> hashed = RendezvousHash.rank(duty, entries);
         List<String> order = hashed.stream()
                 .sorted(Comparator.comparingDouble(this::loadWithOneMore))
@@ -58,7 +58,7 @@
      * Returns the entry that had better take one of another's duties: even with it, it has less to do for what it can do
      * than the other has now.
      */
-    public Optional<String> reliefOf(String entry, Collection<String> others) {
+    public Optional<String> handOverTarget(String entry, Collection<String> others) {
         return others.stream()
                 .filter(o -> !o.equals(entry) && loadWithOneMore(o) < load(entry, 0))
                 .min(Comparator.comparingDouble(this::loadWithOneMore));
@@ -68,7 +68,7 @@
         return load(entry, 1);
     }
 
-    private double load(String entry, int more) {
-        return (double) (owned.getOrDefault(entry, 0) + more) / capacities.getOrDefault(entry, USUAL_CAPACITY);
+    private double load(String entry, int additionalDuties) {
+        return (double) (owned.getOrDefault(entry, 0) + additionalDuties) / capacities.getOrDefault(entry, DEFAULT_CAPACITY);
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
@@ -33,54 +33,54 @@
             Map.of("large-1", 1_500L, "large-2", 1_500L, "small-1", 360L, "small-2", 360L, "small-3", 360L);
 
     @Nested
-    class AmongUnlikeEntries {
+    class EntriesOfDifferentCapacity {
 
         @Test
-        void theLargeOnesTryFirst() {
+        void largeEntriesTryFirst() {
             OwnerRank order = new OwnerRank(Map.of(), CAPACITIES);
-            assertTrue(IntStream.range(0, 50).allMatch(i -> order.of("large-1", "duty-" + i, ENTRIES) < 2));
+            assertTrue(IntStream.range(0, 50).allMatch(i -> order.position("large-1", "duty-" + i, ENTRIES) < 2));
         }
 
         @Test
-        void aLargeOneThatOwnsMuchComesAfterASmallOne() {
+        void loadedLargeEntryTriesLast() {
             OwnerRank order = new OwnerRank(Map.of("large-1", 5), CAPACITIES);
-            assertEquals(4, order.of("large-1", "duty", ENTRIES));
+            assertEquals(4, order.position("large-1", "duty", ENTRIES));
         }
 
         @Test
-        void aSmallOneHandsItsOnlyDutyToALargeOneThatIsIdle() {
+        void smallEntryHandsItsOnlyDutyToIdleLargeEntry() {
             OwnerRank order = new OwnerRank(Map.of("small-1", 1, "large-1", 1), CAPACITIES);
-            assertEquals(Optional.of("large-2"), order.reliefOf("small-1", ENTRIES));
+            assertEquals(Optional.of("large-2"), order.handOverTarget("small-1", ENTRIES));
         }
 
         @Test
-        void noDutyGoesToAndFro() {
+        void handedOverDutyIsNotHandedBack() {
             for (int large = 0; large < 20; large++) {
                 OwnerRank before = new OwnerRank(Map.of("small-1", 1, "large-1", large), CAPACITIES);
                 OwnerRank after = new OwnerRank(Map.of("large-1", large + 1), CAPACITIES);
                 List<String> two = List.of("small-1", "large-1");
-                boolean handed = before.reliefOf("small-1", two).isPresent();
-                boolean back = after.reliefOf("large-1", two).isPresent();
+                boolean handed = before.handOverTarget("small-1", two).isPresent();
+                boolean back = after.handOverTarget("large-1", two).isPresent();
                 assertTrue(!(handed && back), "with " + large);
             }
         }
     }
 
     @Nested
-    class AmongLikeEntries {
+    class EntriesOfEqualCapacity {
 
         private static final List<String> TWO = List.of("one", "two");
 
         @Test
-        void thoseThatOwnLeastTryFirst() {
+        void entryWithFewestDutiesTriesFirst() {
             OwnerRank order = new OwnerRank(Map.of("one", 1), Map.of());
-            assertTrue(IntStream.range(0, 50).allMatch(i -> order.of("two", "duty-" + i, TWO) == 0));
+            assertTrue(IntStream.range(0, 50).allMatch(i -> order.position("two", "duty-" + i, TWO) == 0));
         }
 
         @Test
-        void aDutyIsHandedOverForADifferenceOfTwo() {
-            assertEquals(Optional.empty(), new OwnerRank(Map.of("one", 2, "two", 1), Map.of()).reliefOf("one", TWO));
-            assertEquals(Optional.of("two"), new OwnerRank(Map.of("one", 3, "two", 1), Map.of()).reliefOf("one", TWO));
+        void handOverNeedsADifferenceOfTwoDuties() {
+            assertEquals(Optional.empty(), new OwnerRank(Map.of("one", 2, "two", 1), Map.of()).handOverTarget("one", TWO));
+            assertEquals(Optional.of("two"), new OwnerRank(Map.of("one", 3, "two", 1), Map.of()).handOverTarget("one", TWO));
         }
     }
 }
