--- a/core/src/main/java/org/lupinpaddle/core/view/FleetView.java
+++ b/core/src/main/java/org/lupinpaddle/core/view/FleetView.java
@@ -56,28 +56,28 @@
     private long contentRevision;
 
     /**
-     * Takes a batch that holds all that was written after {@code above} up to {@code upTo}.
+     * Takes a batch that holds all that was written after {@code afterRevision} up to {@code toRevision}.
      *
      * @return whether anything changed; a batch that would leave a gap is not taken
      */
-    public boolean apply(Collection<StoredRecord> batch, long above, long upTo) {
-        if (above > revision || upTo <= revision) {
+    public boolean apply(Collection<StoredRecord> batch, long afterRevision, long toRevision) {
+        if (afterRevision > revision || toRevision <= revision) {
             return false;
         }
         for (StoredRecord r : batch) {
             StoredRecord held = records.get(r.key());
             if (held == null || r.revision() > held.revision()) {
-                take(r);
+                applyRecord(r);
             }
         }
         if (!batch.isEmpty()) {
             byService.clear();
         }
-        revision = upTo;
+        revision = toRevision;
         return true;
     }
 
-    private void take(StoredRecord r) {
+    private void applyRecord(StoredRecord r) {
         boolean read =
                 (StoreKeys.isService(r.key()) && put(r, ServiceRecord.class, (k, v) -> services.put(v.name(), v)))
                         || (StoreKeys.isPool(r.key()) && put(r, PoolRecord.class, (k, v) -> pools.put(v.name(), v)))
@@ -114,10 +114,10 @@
         return contentRevision;
     }
 
-    /** Returns the records written after {@code above}, for a neighbour that has that revision. */
-    public List<StoredRecord> recordsAbove(long above) {
+    /** Returns the records written after {@code afterRevision}, for a neighbour that has that revision. */
+    public List<StoredRecord> recordsAfter(long afterRevision) {
         return records.values().stream()
-                .filter(r -> r.revision() > above)
+                .filter(r -> r.revision() > afterRevision)
                 .sorted(Comparator.comparingLong(StoredRecord::revision))
                 .toList();
     }
@@ -168,13 +168,13 @@
     /** Returns the instances whose pool runs the service. */
     public List<InstanceRecord> instancesOf(String service) {
         if (byService.isEmpty()) {
-            index();
+            indexByService();
         }
         return Collections.unmodifiableList(byService.getOrDefault(service, List.of()));
     }
 
     // Made once for a state of the view: looking through the fleet for each service would grow as its square.
-    private void index() {
+    private void indexByService() {
         for (InstanceRecord i : instances.values()) {
             PoolRecord p = pools.get(i.pool());
             String service = p == null ? null : p.service();
@@ -185,7 +185,7 @@
     }
 
     /** Returns the records that could not be read, for the log; the list is emptied. */
-    public List<String> takeUnreadable() {
+    public List<String> drainUnreadable() {
         List<String> all = List.copyOf(unreadable);
         unreadable.clear();
         return all;
--- a/core/src/test/java/org/lupinpaddle/core/view/FleetViewProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/view/FleetViewProperties.java
@@ -38,10 +38,10 @@
         return new StoredRecord(StoreKeys.pool(name), RecordCodec.write(p), revision);
     }
 
-    private static List<StoredRecord> between(List<StoredRecord> log, long above, long upTo) {
+    private static List<StoredRecord> between(List<StoredRecord> log, long afterRevision, long toRevision) {
         FleetView v = new FleetView();
-        v.apply(log.stream().filter(r -> r.revision() <= upTo).toList(), 0, upTo);
-        return v.recordsAbove(above);
+        v.apply(log.stream().filter(r -> r.revision() <= toRevision).toList(), 0, toRevision);
+        return v.recordsAfter(afterRevision);
     }
 
     @Property(seed = "31", tries = 500, shrinking = ShrinkingMode.OFF)
@@ -54,24 +54,24 @@
         FleetView view = new FleetView();
         long before = 0;
         for (int i = 0; i < 60; i++) {
-            long upTo = 1 + random.nextInt(40);
-            long above = random.nextInt((int) upTo);
-            view.apply(between(log, above, upTo), above, upTo);
+            long toRevision = 1 + random.nextInt(40);
+            long afterRevision = random.nextInt((int) toRevision);
+            view.apply(between(log, afterRevision, toRevision), afterRevision, toRevision);
             assertTrue(view.revision() >= before, "the view went back");
             before = view.revision();
-            assertShows(view, log);
+            assertMatchesStore(view, log);
         }
     }
 
     // The view shows, record by record, what the store held at the view's revision.
-    private static void assertShows(FleetView view, List<StoredRecord> log) {
+    private static void assertMatchesStore(FleetView view, List<StoredRecord> log) {
         for (StoredRecord r : between(log, 0, view.revision())) {
             assertEquals(r.value(), view.text(r.key()).orElse("none"));
         }
     }
 
     @Example
-    void aBatchThatWouldLeaveAGapIsNotTaken() {
+    void rejectsBatchThatLeavesGap() {
         FleetView view = new FleetView();
         assertTrue(view.apply(List.of(pool("a", 1)), 0, 1));
         assertFalse(view.apply(List.of(pool("a", 5)), 3, 5));
@@ -79,11 +79,11 @@
     }
 
     @Example
-    void aRecordThatCanNotBeReadLeavesTheOldOneInForce() {
+    void unreadableRecordKeepsPreviousValue() {
         FleetView view = new FleetView();
         view.apply(List.of(pool("a", 1)), 0, 1);
         view.apply(List.of(new StoredRecord(StoreKeys.pool("a"), "{broken", 2)), 1, 2);
         assertTrue(view.pools().containsKey("a"));
-        assertEquals(List.of(StoreKeys.pool("a") + "@2"), view.takeUnreadable());
+        assertEquals(List.of(StoreKeys.pool("a") + "@2"), view.drainUnreadable());
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/EntryPeers.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/EntryPeers.java
@@ -225,7 +225,7 @@
     private Frame records(long above) {
         Records.Builder b =
                 Records.newBuilder().setAbove(above).setUpTo(config.view().revision());
-        for (StoredRecord r : config.view().recordsAbove(above)) {
+        for (StoredRecord r : config.view().recordsAfter(above)) {
             b.addRecords(
                     StoreRecord.newBuilder().setKey(r.key()).setValue(r.value()).setRevision(r.revision()));
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/config/ConfigSync.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/config/ConfigSync.java
@@ -129,7 +129,7 @@
     private void take(List<StoredRecord> records, long above, long upTo) {
         long before = view.contentRevision();
         boolean applied = view.apply(records, above, upTo);
-        view.takeUnreadable().forEach(r -> Log.warn("record-unreadable", "record", r));
+        view.drainUnreadable().forEach(r -> Log.warn("record-unreadable", "record", r));
         if (applied && (before != view.contentRevision() || before == 0)) {
             metrics.counter("config.changes").inc();
             listener.onChange(before);
