--- a/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
+++ b/core/src/main/java/org/lupinpaddle/core/capacity/ArrivalRate.java
@@ -19,7 +19,7 @@
 import java.util.Deque;
 import java.util.HashMap;
 import java.util.Map;
-import org.lupinpaddle.core.common.ForgettingMean;
+import org.lupinpaddle.core.common.ExponentialMovingAverage;
 import org.lupinpaddle.core.placement.Resources;
 
 /**
@@ -42,9 +42,9 @@
     /** The arrivals and mean job sizes of one queue. */
     private static final class QueueStatistics {
         final Deque<Long> acceptedAt = new ArrayDeque<>();
-        final ForgettingMean cpuTime = new ForgettingMean(MIN_WEIGHT);
-        final ForgettingMean memoryTime = new ForgettingMean(MIN_WEIGHT);
-        final ForgettingMean acceleratorTime = new ForgettingMean(MIN_WEIGHT);
+        final ExponentialMovingAverage cpuTime = new ExponentialMovingAverage(MIN_WEIGHT);
+        final ExponentialMovingAverage memoryTime = new ExponentialMovingAverage(MIN_WEIGHT);
+        final ExponentialMovingAverage acceleratorTime = new ExponentialMovingAverage(MIN_WEIGHT);
 
         void addSample(Work w) {
             cpuTime.add(w.cpuTime);
--- a/core/src/main/java/org/lupinpaddle/core/common/CheckedRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/CheckedRecord.java
@@ -21,5 +21,5 @@
 public interface CheckedRecord {
 
     /** Returns what is wrong with it, or nothing. */
-    Optional<Unreadable> wrong();
+    Optional<Unreadable> findError();
 }
--- a/core/src/main/java/org/lupinpaddle/core/common/ForgettingMean.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/ExponentialMovingAverage.java
@@ -16,24 +16,24 @@
 package org.lupinpaddle.core.common;
 
 /**
- * A mean of what has been seen: of all of it at first, then of the newest, each of which counts at least a given weight
+ * A mean of what has been sample: of all of it at first, then of the newest, each of which counts at least a given weight
  * (an exponentially weighted mean with the plain one as its start).
  */
-public final class ForgettingMean {
+public final class ExponentialMovingAverage {
 
-    private final double leastWeight;
+    private final double minWeight;
     private int count;
     private double value;
 
     /** Makes the mean of nothing, which is 0. */
-    public ForgettingMean(double leastWeight) {
-        this.leastWeight = leastWeight;
+    public ExponentialMovingAverage(double minWeight) {
+        this.minWeight = minWeight;
     }
 
     /** Takes in one more. */
-    public void add(double seen) {
+    public void add(double sample) {
         count++;
-        value += (seen - value) * Math.max(1.0 / count, leastWeight);
+        value += (sample - value) * Math.max(1.0 / count, minWeight);
     }
 
     /** Returns how many have been taken in. */
--- a/core/src/main/java/org/lupinpaddle/core/common/RecordCodec.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/RecordCodec.java
@@ -52,7 +52,7 @@
                 c.setCoercion(CoercionInputShape.Float, CoercionAction.Fail);
                 c.setCoercion(CoercionInputShape.Boolean, CoercionAction.Fail);
             })
-            .annotationIntrospector(new RequiredMembers())
+            .annotationIntrospector(new RequiredComponentsIntrospector())
             .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
             .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS)
             .build();
@@ -72,7 +72,7 @@
     public static <T> Either<Unreadable, T> read(String text, Class<T> type) {
         try {
             T value = MAPPER.readValue(text, type);
-            return value == null ? Either.left(Unreadable.Reason.NOT_AN_OBJECT.whole()) : checked(value);
+            return value == null ? Either.left(Unreadable.Reason.NOT_AN_OBJECT.whole()) : validate(value);
         } catch (JsonMappingException e) {
             return Either.left(unreadable(e));
         } catch (JsonProcessingException e) {
@@ -80,9 +80,9 @@
         }
     }
 
-    private static <T> Either<Unreadable, T> checked(T value) {
-        Optional<Unreadable> wrong = value instanceof CheckedRecord r ? r.wrong() : Optional.empty();
-        return wrong.<Either<Unreadable, T>>map(Either::left).orElse(Either.right(value));
+    private static <T> Either<Unreadable, T> validate(T value) {
+        Optional<Unreadable> error = value instanceof CheckedRecord r ? r.findError() : Optional.empty();
+        return error.<Either<Unreadable, T>>map(Either::left).orElse(Either.right(value));
     }
 
     private static Unreadable unreadable(JsonMappingException e) {
--- a/core/src/main/java/org/lupinpaddle/core/common/RequiredMembers.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/RequiredComponentsIntrospector.java
@@ -24,7 +24,7 @@
 import org.jspecify.annotations.Nullable;
 
 /** Tells the codec that a member of a record must be there, and not be null, unless it is declared nullable. */
-final class RequiredMembers extends JacksonAnnotationIntrospector {
+final class RequiredComponentsIntrospector extends JacksonAnnotationIntrospector {
 
     private static final long serialVersionUID = 1;
 
--- a/core/src/main/java/org/lupinpaddle/core/common/Unreadable.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Unreadable.java
@@ -26,7 +26,7 @@
 public record Unreadable(Reason reason, String field) {
 
     // Names of members come from whoever wrote the record, and this goes into log lines.
-    private static final int MOST_FIELD_CHARS = 60;
+    private static final int MAX_FIELD_CHARS = 60;
 
     /** What can be wrong with a record. */
     public enum Reason {
@@ -66,7 +66,7 @@
 
     /** Makes a reason; a long name of a member is cut. */
     public Unreadable {
-        field = field.length() <= MOST_FIELD_CHARS ? field : field.substring(0, MOST_FIELD_CHARS);
+        field = field.length() <= MAX_FIELD_CHARS ? field : field.substring(0, MAX_FIELD_CHARS);
     }
 
     /** Returns both, as log lines and operators show them. */
--- a/core/src/main/java/org/lupinpaddle/core/common/Urgency.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Urgency.java
@@ -52,8 +52,8 @@
     }
 
     /** Returns how many of {@code places} in a queue may be taken when work of this class asks for one. */
-    public int queuePlaces(int places) {
-        return places * queueShare / PERCENT;
+    public int queueLimit(int capacity) {
+        return capacity * queueShare / PERCENT;
     }
 
     /** Returns the class with this wire name, or nothing. */
--- a/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public Optional<Unreadable> wrong() {
+    public Optional<Unreadable> findError() {
         return tasks.stream().allMatch(TaskRecord::isSound)
                 ? Optional.empty()
                 : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("tasks"));
--- a/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
@@ -63,7 +63,7 @@
     }
 
     @Override
-    public Optional<Unreadable> wrong() {
+    public Optional<Unreadable> findError() {
         if (SubmissionCheck.wrong(new Submission(text, steps, repeat)).isPresent()) {
             return Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("steps"));
         }
--- a/core/src/main/java/org/lupinpaddle/core/run/RunTimeEstimator.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/RunTimeEstimator.java
@@ -17,7 +17,7 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.lupinpaddle.core.common.ForgettingMean;
+import org.lupinpaddle.core.common.ExponentialMovingAverage;
 
 /**
  * Estimates run times per queue from successful runs: callers' estimates are wrong by a factor of several, and tasks
@@ -35,8 +35,8 @@
     private final Map<String, QueueStatistics> byQueue = new HashMap<>();
 
     private static final class QueueStatistics {
-        final ForgettingMean millis = new ForgettingMean(MIN_WEIGHT);
-        final ForgettingMean maxToMeanRatio = new ForgettingMean(MIN_WEIGHT);
+        final ExponentialMovingAverage millis = new ExponentialMovingAverage(MIN_WEIGHT);
+        final ExponentialMovingAverage maxToMeanRatio = new ExponentialMovingAverage(MIN_WEIGHT);
 
         QueueStatistics() {
             // Starts with one step whose tasks all took equally long.
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
@@ -125,7 +125,7 @@
         if (workers.values().stream().noneMatch(w -> w.info.memoryMb() >= ask.memoryMb())) {
             return Optional.of(refused(ask, GiveUpReason.TOO_LARGE, 0));
         }
-        if (queue.size() >= ask.urgency().queuePlaces(queueCapacity)) {
+        if (queue.size() >= ask.urgency().queueLimit(queueCapacity)) {
             return Optional.of(refused(ask, GiveUpReason.SHED, retryAfterMillis(GiveUpReason.SHED)));
         }
         long ahead = queue.stream()
--- a/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
+++ b/core/src/main/java/org/lupinpaddle/core/workspace/QuotaAllocation.java
@@ -65,7 +65,7 @@
     }
 
     @Override
-    public Optional<Unreadable> wrong() {
+    public Optional<Unreadable> findError() {
         return grants.values().stream().allMatch(Grant::isSound)
                 ? Optional.empty()
                 : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("grants"));
--- a/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
@@ -63,7 +63,7 @@
             new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 1, 2, 1, false, "w1", "cp")), "why", 9);
 
     /** The members without which the rest of a record is worth keeping. */
-    private static final Set<String> CRASHES = Set.of("/tasks/0/8", "/tasks/0/9", "/tasks/0/10");
+    private static final Set<String> CRASH_PATHS = Set.of("/tasks/0/8", "/tasks/0/9", "/tasks/0/10");
 
     private static final List<Object> RECORDS = List.of(
             new JobSpec(
@@ -136,27 +136,27 @@
     }
 
     @Property(tries = 100)
-    void comeBackAsTheyWereWritten(@ForAll("records") Object record) {
+    void readsWhatWasWritten(@ForAll("records") Object record) {
         assertEquals(
                 record,
                 RecordCodec.read(RecordCodec.write(record), record.getClass()).get());
     }
 
     @Property(tries = 1_000)
-    void withAValueOfAnotherTypeAreNotRead(
+    void rejectsValueOfWrongType(
             @ForAll("records") Object record, @ForAll int drawn, @ForAll("values") JsonNode value) {
         JsonNode tree = tree(record);
         List<String> paths = paths(tree, "");
         String path = paths.get(Math.floorMod(drawn, paths.size()));
         int slash = path.lastIndexOf('/');
-        if (!CRASHES.contains(path) && !fits(tree.at(path), value)) {
+        if (!CRASH_PATHS.contains(path) && !fits(tree.at(path), value)) {
             set(tree.at(path.substring(0, slash)), path.substring(slash + 1), value);
             assertTrue(RecordCodec.read(tree.toString(), record.getClass()).isLeft(), tree.toString());
         }
     }
 
     @Property(tries = 300)
-    void withoutAMemberAreNotRead(@ForAll("records") Object record, @ForAll int drawn) {
+    void rejectsMissingMember(@ForAll("records") Object record, @ForAll int drawn) {
         JsonNode tree = tree(record);
         List<String> paths = paths(tree, "").stream()
                 .filter(p -> tree.at(p.substring(0, p.lastIndexOf('/'))).isObject())
@@ -171,20 +171,20 @@
     }
 
     @Property(tries = 200)
-    void thatAreCutOffAreNotRead(@ForAll("records") Object record, @ForAll int drawn) {
+    void rejectsTruncatedText(@ForAll("records") Object record, @ForAll int drawn) {
         String whole = RecordCodec.write(record);
         String cut = whole.substring(0, Math.floorMod(drawn, whole.length()));
         assertTrue(RecordCodec.read(cut, record.getClass()).isLeft(), cut);
     }
 
     @Property(tries = 500)
-    void ofRandomBytesAreNotRead(@ForAll("records") Object record, @ForAll byte[] bytes) {
+    void rejectsRandomBytes(@ForAll("records") Object record, @ForAll byte[] bytes) {
         String text = new String(bytes, StandardCharsets.ISO_8859_1);
         assertTrue(RecordCodec.read(text, record.getClass()).isLeft());
     }
 
     @Property(tries = 100)
-    void mayHaveMembersOfALaterVersion(@ForAll("records") Object record, @ForAll("values") JsonNode value) {
+    void ignoresUnknownMembers(@ForAll("records") Object record, @ForAll("values") JsonNode value) {
         ObjectNode tree = (ObjectNode) tree(record);
         tree.set("ofALaterVersion", value);
         assertEquals(
@@ -192,7 +192,7 @@
     }
 
     @Property(tries = 200)
-    void ofTasksWithNegativeNumbersAreNotRead(@ForAll("negative") int negative, @ForAll("columns") int column) {
+    void rejectsNegativeTaskNumbers(@ForAll("negative") int negative, @ForAll("columns") int column) {
         JsonNode tree = tree(PROGRESS);
         set(tree.at("/tasks/0"), Integer.toString(column), new LongNode(negative));
         assertTrue(RecordCodec.read(tree.toString(), JobProgress.class).isLeft(), tree.toString());
@@ -200,8 +200,8 @@
 
     /** A task whose count of crashes nobody can tell is not left without an owner for that, and it is told. */
     @Property(tries = 300)
-    void ofTasksWithSomethingElseThanACountOfCrashesAreReadAsNotCounted(
-            @ForAll("noCounts") JsonNode value, @ForAll("crashColumns") int column) {
+    void readsInvalidCrashCountAsZeroAndReportsIt(
+            @ForAll("invalidCounts") JsonNode value, @ForAll("crashColumns") int column) {
         JsonNode tree = tree(PROGRESS);
         set(tree.at("/tasks/0"), Integer.toString(column), value);
         TaskRecord read = RecordCodec.read(tree.toString(), JobProgress.class)
@@ -215,7 +215,7 @@
     }
 
     @Property(tries = 50)
-    void ofTasksComeBackWithTheirCountOfCrashes(@ForAll("counts") int count) {
+    void preservesCrashCounts(@ForAll("counts") int count) {
         TaskRecord t = new TaskRecord(0, 0, 1, 2, 1, false, "w1", "cp", count, count / 2);
         JobProgress p = new JobProgress(JobState.RUNNING, List.of(t), "", 9);
         assertEquals(
@@ -224,7 +224,7 @@
 
     /** As a version writes it that does not know that workers restart under their ids. */
     @Example
-    void ofTasksWithoutTheBirthOfTheirWorkerAreRead() {
+    void readsTaskWithoutWorkerStartTime() {
         JsonNode tree = tree(PROGRESS);
         ((ArrayNode) tree.at("/tasks/0")).remove(10);
         TaskRecord read = RecordCodec.read(tree.toString(), JobProgress.class)
@@ -236,7 +236,7 @@
     }
 
     @Property(tries = 100)
-    void ofTasksWithSomethingElseThanABirthAreReadAsOfAnUnknownLife(@ForAll("noCounts") JsonNode value) {
+    void readsInvalidWorkerStartTimeAsUnknown(@ForAll("invalidCounts") JsonNode value) {
         Assume.that(!value.canConvertToLong() || value.longValue() <= 0);
         JsonNode tree = tree(PROGRESS);
         set(tree.at("/tasks/0"), "10", value);
@@ -249,7 +249,7 @@
     }
 
     @Property(tries = 50)
-    void ofTasksComeBackWithTheBirthOfTheirWorker(@ForAll @LongRange(min = 1) long born) {
+    void preservesWorkerStartTime(@ForAll @LongRange(min = 1) long born) {
         TaskRecord t = new TaskRecord(0, 0, 1, 2, 1, false, "w1", "cp", 0, 0, born);
         JobProgress p = new JobProgress(JobState.RUNNING, List.of(t), "", 9);
         assertEquals(
@@ -258,7 +258,7 @@
 
     /** As a version writes it that does not count. */
     @Example
-    void ofTasksWithoutACountOfCrashesAreRead() {
+    void readsTaskWithoutCrashCounts() {
         JsonNode tree = tree(PROGRESS);
         ((ArrayNode) tree.at("/tasks/0")).remove(9);
         ((ArrayNode) tree.at("/tasks/0")).remove(8);
@@ -271,7 +271,7 @@
     }
 
     @Provide
-    Arbitrary<JsonNode> noCounts() {
+    Arbitrary<JsonNode> invalidCounts() {
         Arbitrary<JsonNode> negative = negative().map(IntNode::new);
         Arbitrary<JsonNode> large =
                 Arbitraries.longs().greaterOrEqual(1L + Integer.MAX_VALUE).map(LongNode::new);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
@@ -119,7 +119,7 @@
 
         private void askSlot(RequestAction.AskSlot s) {
             if (fleet.policy == SimPolicy.TWO_CHOICES) {
-                if (queue.size() >= job.urgency.queuePlaces(QUEUE_CAPACITY)) {
+                if (queue.size() >= job.urgency.queueLimit(QUEUE_CAPACITY)) {
                     fleet.time.after(0, () -> onEvent(new RequestEvent.SlotRefused(GiveUpReason.SHED, 2_000)));
                 } else {
                     queue.add(this);
