--- a/core/src/main/java/org/lupinpaddle/core/command/CommandWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/BaseCommand.java
@@ -23,12 +23,12 @@
 import java.util.regex.Pattern;
 
 /** The words of one command, which give its typed form. The commands that stand in no group are here. */
-public abstract class CommandWords implements Supplier<OperatorCommand> {
+public abstract class BaseCommand implements Supplier<OperatorCommand> {
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
-    static List<Class<? extends CommandWords>> all() {
-        return List.of(StatusWords.class, EntriesWords.class, MetricsWords.class, TraceWords.class);
+    static List<Class<? extends BaseCommand>> all() {
+        return List.of(StatusCommand.class, EntriesCommand.class, MetricsCommand.class, TraceCommand.class);
     }
 
     /** Returns a name if it is one, or fails with what a name is. */
@@ -42,7 +42,7 @@
 
     /** Says what is in force. */
     @Command(name = "status", description = "Says what is in force here and at which revision")
-    public static final class StatusWords extends CommandWords {
+    public static final class StatusCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Status();
@@ -51,7 +51,7 @@
 
     /** Lists the entries. */
     @Command(name = "entries", description = "Lists the entries as this one sees them")
-    public static final class EntriesWords extends CommandWords {
+    public static final class EntriesCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Entries();
@@ -60,7 +60,7 @@
 
     /** Reads the metrics. */
     @Command(name = "metrics", description = "Reads the metrics of one entry")
-    public static final class MetricsWords extends CommandWords {
+    public static final class MetricsCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Metrics();
@@ -69,7 +69,7 @@
 
     /** Reads the trace of a request. */
     @Command(name = "trace", description = "Reads the hops of a request, by the request's id")
-    public static final class TraceWords extends CommandWords {
+    public static final class TraceCommand extends BaseCommand {
         @Arguments(description = "The request's id", title = "REQUEST-ID")
         @Required
         private String requestId = "";
--- a/core/src/main/java/org/lupinpaddle/core/command/CommandParser.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/CommandParser.java
@@ -36,29 +36,29 @@
 
     private CommandParser() {}
 
-    private static Cli<CommandWords> builder() {
-        return com.github.rvesse.airline.Cli.<CommandWords>builder(TOOL)
+    private static Cli<BaseCommand> builder() {
+        return com.github.rvesse.airline.Cli.<BaseCommand>builder(TOOL)
                 .withDescription("Asks and commands a fleet through any of its entries")
-                .withCommands(CommandWords.all())
+                .withCommands(BaseCommand.all())
                 .withGroup("service")
                 .withDescription("Services and their availability budgets")
-                .withCommands(ServiceWords.all())
+                .withCommands(ServiceCommands.all())
                 .parent()
                 .withGroup("pool")
                 .withDescription("Pools of instances")
-                .withCommands(PoolWords.all())
+                .withCommands(PoolCommands.all())
                 .parent()
                 .withGroup("instance")
                 .withDescription("Instances and their places")
-                .withCommands(InstanceWords.all())
+                .withCommands(InstanceCommands.all())
                 .parent()
                 .withGroup("wave")
                 .withDescription("Waves of maintenance and migration")
-                .withCommands(WaveWords.all())
+                .withCommands(WaveCommands.all())
                 .parent()
                 .withGroup("job")
                 .withDescription("Jobs on the operators' platform, their owners and workers")
-                .withCommands(JobWords.all())
+                .withCommands(JobCommands.all())
                 .parent()
                 .build();
     }
--- a/core/src/main/java/org/lupinpaddle/core/command/InstanceWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/InstanceCommands.java
@@ -24,19 +24,19 @@
 import org.jspecify.annotations.Nullable;
 
 /** The commands of the group {@code instance}. */
-final class InstanceWords {
+final class InstanceCommands {
 
     private static final Pattern ADDRESS = Pattern.compile("([0-9]{1,3}\\.){3}[0-9]{1,3}:[0-9]{1,5}");
 
-    private InstanceWords() {}
+    private InstanceCommands() {}
 
-    static List<Class<? extends CommandWords>> all() {
-        return List.of(ListWords.class, AddWords.class, RetireWords.class, ExplainWords.class);
+    static List<Class<? extends BaseCommand>> all() {
+        return List.of(ListCommand.class, AddCommand.class, RetireCommand.class, ExplainCommand.class);
     }
 
     /** Lists instances. */
     @Command(name = "list", description = "Lists instances with pool, place and state")
-    public static final class ListWords extends CommandWords {
+    public static final class ListCommand extends BaseCommand {
         @Option(name = "--pool", title = "POOL", description = "Only those of this pool")
         private @Nullable String pool;
 
@@ -48,7 +48,7 @@
 
     /** Takes an instance in. */
     @Command(name = "add", description = "Takes an instance into the fleet")
-    public static final class AddWords extends CommandWords {
+    public static final class AddCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
         @Required
         private String id = "";
@@ -92,7 +92,7 @@
 
     /** Takes an instance out. */
     @Command(name = "retire", description = "Takes an instance of a spare pool out of the fleet")
-    public static final class RetireWords extends CommandWords {
+    public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
         @Required
         private String id = "";
@@ -105,7 +105,7 @@
 
     /** Explains an instance. */
     @Command(name = "explain", description = "Says why an instance is where it is and what holds it")
-    public static final class ExplainWords extends CommandWords {
+    public static final class ExplainCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
         @Required
         private String id = "";
--- a/core/src/main/java/org/lupinpaddle/core/command/JobWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/JobCommands.java
@@ -21,23 +21,23 @@
 import java.util.List;
 
 /** The commands of the group {@code job}: questions about jobs, their owners and workers. */
-final class JobWords {
+final class JobCommands {
 
-    private JobWords() {}
+    private JobCommands() {}
 
-    static List<Class<? extends CommandWords>> all() {
+    static List<Class<? extends BaseCommand>> all() {
         return List.of(
-                ListWords.class,
-                ExplainWords.class,
-                OwnersWords.class,
-                WorkersWords.class,
-                UpkeepWords.class,
-                UnreadableWords.class);
+                ListCommand.class,
+                ExplainCommand.class,
+                OwnersCommand.class,
+                WorkersCommand.class,
+                UpkeepCommand.class,
+                UnreadableCommand.class);
     }
 
     /** Lists the jobs. */
     @Command(name = "list", description = "Lists the jobs that the store knows, with their states")
-    public static final class ListWords extends CommandWords {
+    public static final class ListCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.JobList();
@@ -46,7 +46,7 @@
 
     /** Explains a job. */
     @Command(name = "explain", description = "Says how far a job is, where its tasks run, and why it waits")
-    public static final class ExplainWords extends CommandWords {
+    public static final class ExplainCommand extends BaseCommand {
         @Arguments(description = "The job's id", title = "ID")
         @Required
         private String id = "";
@@ -59,7 +59,7 @@
 
     /** Lists the owners. */
     @Command(name = "owners", description = "Lists the entries and which duties each owns")
-    public static final class OwnersWords extends CommandWords {
+    public static final class OwnersCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.JobOwners();
@@ -68,7 +68,7 @@
 
     /** Lists the workers. */
     @Command(name = "workers", description = "Lists the workers that the platform's store shows, by service")
-    public static final class WorkersWords extends CommandWords {
+    public static final class WorkersCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.JobWorkers();
@@ -77,7 +77,7 @@
 
     /** Lists what can not be read. */
     @Command(name = "unreadable", description = "Lists the store's entries that can not be read, and what is wrong")
-    public static final class UnreadableWords extends CommandWords {
+    public static final class UnreadableCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.JobUnreadable();
@@ -86,7 +86,7 @@
 
     /** Lists the waves of upkeep. */
     @Command(name = "upkeep", description = "Lists the platform's waves of upkeep and how far they are")
-    public static final class UpkeepWords extends CommandWords {
+    public static final class UpkeepCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.JobUpkeep();
--- a/core/src/main/java/org/lupinpaddle/core/command/PoolWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/PoolCommands.java
@@ -23,17 +23,17 @@
 import org.jspecify.annotations.Nullable;
 
 /** The commands of the group {@code pool}. */
-final class PoolWords {
+final class PoolCommands {
 
-    private PoolWords() {}
+    private PoolCommands() {}
 
-    static List<Class<? extends CommandWords>> all() {
-        return List.of(ListWords.class, CreateWords.class, RetireWords.class);
+    static List<Class<? extends BaseCommand>> all() {
+        return List.of(ListCommand.class, CreateCommand.class, RetireCommand.class);
     }
 
     /** Lists the pools. */
     @Command(name = "list", description = "Lists pools with service, site and instances by state")
-    public static final class ListWords extends CommandWords {
+    public static final class ListCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.PoolList();
@@ -42,7 +42,7 @@
 
     /** Makes a pool. */
     @Command(name = "create", description = "Makes a pool; without --service, one of spare instances")
-    public static final class CreateWords extends CommandWords {
+    public static final class CreateCommand extends BaseCommand {
         @Arguments(description = "The pool's name", title = "NAME")
         @Required
         private String pool = "";
@@ -63,7 +63,7 @@
 
     /** Ends a pool. */
     @Command(name = "retire", description = "Ends a pool that has no instances")
-    public static final class RetireWords extends CommandWords {
+    public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The pool's name", title = "NAME")
         @Required
         private String pool = "";
--- a/core/src/main/java/org/lupinpaddle/core/command/ServiceWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/ServiceCommands.java
@@ -26,12 +26,12 @@
 import org.lupinpaddle.core.service.Reserve;
 
 /** The commands of the group {@code service}. */
-final class ServiceWords {
+final class ServiceCommands {
 
-    private ServiceWords() {}
+    private ServiceCommands() {}
 
-    static List<Class<? extends CommandWords>> all() {
-        return List.of(ListWords.class, CreateWords.class, ChangeWords.class, RetireWords.class);
+    static List<Class<? extends BaseCommand>> all() {
+        return List.of(ListCommand.class, CreateCommand.class, ChangeCommand.class, RetireCommand.class);
     }
 
     private static Reserve reserve(String s) {
@@ -47,7 +47,7 @@
 
     /** Lists the services. */
     @Command(name = "list", description = "Lists services with budget, members and who is out on purpose")
-    public static final class ListWords extends CommandWords {
+    public static final class ListCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.ServiceList();
@@ -56,7 +56,7 @@
 
     /** Makes a service. */
     @Command(name = "create", description = "Makes a service with an availability budget")
-    public static final class CreateWords extends CommandWords {
+    public static final class CreateCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
         @Required
         private String service = "";
@@ -78,7 +78,7 @@
 
     /** Changes a service. */
     @Command(name = "change", description = "Changes a service's budget or reserve")
-    public static final class ChangeWords extends CommandWords {
+    public static final class ChangeCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
         @Required
         private String service = "";
@@ -104,7 +104,7 @@
 
     /** Ends a service. */
     @Command(name = "retire", description = "Ends a service that no pool runs")
-    public static final class RetireWords extends CommandWords {
+    public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
         @Required
         private String service = "";
--- a/core/src/main/java/org/lupinpaddle/core/command/WaveWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/WaveCommands.java
@@ -29,23 +29,23 @@
 import org.lupinpaddle.core.wave.WaveScope;
 
 /** The commands of the group {@code wave}. */
-final class WaveWords {
+final class WaveCommands {
 
-    private WaveWords() {}
+    private WaveCommands() {}
 
-    static List<Class<? extends CommandWords>> all() {
+    static List<Class<? extends BaseCommand>> all() {
         return List.of(
-                PlanWords.class,
-                StartWords.class,
-                PauseWords.class,
-                ResumeWords.class,
-                CancelWords.class,
-                ListWords.class,
-                ShowWords.class);
+                PlanCommand.class,
+                StartCommand.class,
+                PauseCommand.class,
+                ResumeCommand.class,
+                CancelCommand.class,
+                ListCommand.class,
+                ShowCommand.class);
     }
 
     /** The words that describe a wave. */
-    abstract static class DraftWords extends CommandWords {
+    abstract static class WaveDraftCommand extends BaseCommand {
         @Arguments(description = "The wave's name", title = "NAME")
         @Required
         private String wave = "";
@@ -88,7 +88,7 @@
 
     /** Asks what a wave would do. */
     @Command(name = "plan", description = "Says what a wave would do, in which order, and what holds it back")
-    public static final class PlanWords extends DraftWords {
+    public static final class PlanCommand extends WaveDraftCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WavePlan(draft());
@@ -97,7 +97,7 @@
 
     /** Starts a wave. */
     @Command(name = "start", description = "Starts a wave, unless it can never finish within its budgets")
-    public static final class StartWords extends DraftWords {
+    public static final class StartCommand extends WaveDraftCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveStart(draft());
@@ -105,7 +105,7 @@
     }
 
     /** The words that name a wave. */
-    abstract static class NamedWords extends CommandWords {
+    abstract static class NamedWaveCommand extends BaseCommand {
         @Arguments(description = "The wave's name", title = "NAME")
         @Required
         private String wave = "";
@@ -117,7 +117,7 @@
 
     /** Pauses a wave. */
     @Command(name = "pause", description = "Takes out no more instances and puts back those not yet rebooting")
-    public static final class PauseWords extends NamedWords {
+    public static final class PauseCommand extends NamedWaveCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveSteer(wave(), Steering.PAUSE);
@@ -126,7 +126,7 @@
 
     /** Resumes a wave. */
     @Command(name = "resume", description = "Goes on with a wave that is paused or halted")
-    public static final class ResumeWords extends NamedWords {
+    public static final class ResumeCommand extends NamedWaveCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveSteer(wave(), Steering.RESUME);
@@ -135,7 +135,7 @@
 
     /** Cancels a wave. */
     @Command(name = "cancel", description = "Ends a wave for good; reboots that were begun are finished")
-    public static final class CancelWords extends NamedWords {
+    public static final class CancelCommand extends NamedWaveCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveSteer(wave(), Steering.CANCEL);
@@ -144,7 +144,7 @@
 
     /** Lists the waves. */
     @Command(name = "list", description = "Lists the waves")
-    public static final class ListWords extends CommandWords {
+    public static final class ListCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveList();
@@ -153,7 +153,7 @@
 
     /** Shows a wave. */
     @Command(name = "show", description = "Shows a wave's progress, instance by instance, and what it waits for")
-    public static final class ShowWords extends NamedWords {
+    public static final class ShowCommand extends NamedWaveCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.WaveShow(wave());
