--- a/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
+++ b/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
@@ -69,6 +69,7 @@
     }
 
     private double load(String entry, int additionalDuties) {
-        return (double) (owned.getOrDefault(entry, 0) + additionalDuties) / capacities.getOrDefault(entry, DEFAULT_CAPACITY);
+        return (double) (owned.getOrDefault(entry, 0) + additionalDuties)
+                / capacities.getOrDefault(entry, DEFAULT_CAPACITY);
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
@@ -79,8 +79,10 @@
 
         @Test
         void handOverNeedsADifferenceOfTwoDuties() {
-            assertEquals(Optional.empty(), new OwnerRank(Map.of("one", 2, "two", 1), Map.of()).handOverTarget("one", TWO));
-            assertEquals(Optional.of("two"), new OwnerRank(Map.of("one", 3, "two", 1), Map.of()).handOverTarget("one", TWO));
+            assertEquals(
+                    Optional.empty(), new OwnerRank(Map.of("one", 2, "two", 1), Map.of()).handOverTarget("one", TWO));
+            assertEquals(
+                    Optional.of("two"), new OwnerRank(Map.of("one", 3, "two", 1), Map.of()).handOverTarget("one", TWO));
         }
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
@@ -140,7 +140,8 @@
     void rememberRegistered() {
         long now = clock.millis();
         Map<String, Long> published = publishedCapacities();
-        entries().forEach(e -> known.put(e, new KnownEntry(published.getOrDefault(e, OwnerRank.DEFAULT_CAPACITY), now)));
+        entries()
+                .forEach(e -> known.put(e, new KnownEntry(published.getOrDefault(e, OwnerRank.DEFAULT_CAPACITY), now)));
         known.values().removeIf(k -> now - k.seenAt() > RETENTION_MILLIS);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -442,8 +442,9 @@
      * is acquiring.
      */
     private long delayMillis(OwnerRank order, String duty, int steps) {
-        int rank =
-                defersAny() ? MAX_RANK : Math.min(MAX_RANK, order.position(entry, duty, members.candidates(isRejoining())));
+        int rank = defersAny()
+                ? MAX_RANK
+                : Math.min(MAX_RANK, order.position(entry, duty, members.candidates(isRejoining())));
         return rank * STAGGER_MILLIS + Math.min(steps, MAX_DUTY_STEPS) * DUTY_DELAY_MILLIS;
     }
 
@@ -461,7 +462,8 @@
         // The duty won last is handed over; those owned for longer stay.
         Optional<String> latest = owned.keySet().stream().max(Comparator.comparingLong(this::wonAt));
         Optional<String> held = latest.filter(d -> now - wonAt(d) >= MIN_HOLD_MILLIS);
-        Optional<String> target = members.order(owners).handOverTarget(entry, members.registeredFor(MIN_REGISTERED_MILLIS));
+        Optional<String> target =
+                members.order(owners).handOverTarget(entry, members.registeredFor(MIN_REGISTERED_MILLIS));
         if (held.isPresent() && target.isPresent() && owners.keySet().containsAll(duties)) {
             rebalancedAt = now;
             release(held.get(), target.get() + " has a lower load for its capacity");
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
@@ -298,8 +298,9 @@
             return "stays: the wave is " + w.state();
         }
         return view().serviceOf(i)
-                .map(s -> "waits for its turn: service " + s.name() + " keeps " + MemberReconciler.minAvailable(view(), s)
-                        + ", " + s.available(java.util.Set.of()) + " available")
+                .map(s ->
+                        "waits for its turn: service " + s.name() + " keeps " + MemberReconciler.minAvailable(view(), s)
+                                + ", " + s.available(java.util.Set.of()) + " available")
                 .orElse("waits for its turn");
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/settings/JobSettings.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/settings/JobSettings.java
@@ -96,7 +96,8 @@
     private static long capacity(TomlChecks t) throws SettingsException {
         double share = t.fraction("entry.cpu_share", 1);
         double speed = t.fraction("entry.cpu_speed", 1);
-        return Math.max(LEAST_CAPACITY, Math.min(MOST_CAPACITY, Math.round(share * speed * OwnerRank.DEFAULT_CAPACITY)));
+        return Math.max(
+                LEAST_CAPACITY, Math.min(MOST_CAPACITY, Math.round(share * speed * OwnerRank.DEFAULT_CAPACITY)));
     }
 
     /** Returns the settings in a file, or says what is wrong with them. */
