--- a/core/src/main/java/org/lupinpaddle/core/service/MemberReconciler.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/MemberReconciler.java
@@ -21,15 +21,16 @@
 import org.lupinpaddle.core.view.FleetView;
 
 /**
- * Counts instances as members of their service once they are in service. Decided on one view, which is a
- * state the store once had, and written against the ledger's revision of that view: whoever takes such an
- * instance out must first write the ledger, so a joiner that has left meanwhile makes the write fail.
+ * Adds instances to the member set of their service once they are in service. The decision is based on one
+ * view, a state that the store once had, and the write is conditional on the revision of the service record in
+ * that view. An instance that leaves must first be removed from that record, so the write fails if a new
+ * member has left in the meantime.
  */
 public final class MemberReconciler {
 
     private MemberReconciler() {}
 
-    /** Returns the ledger with all joiners of the view added, if there are any. */
+    /** Returns the service record with all instances that are newly in service added, or empty if there are none. */
     public static Optional<ServiceRecord> withNewMembers(FleetView view, ServiceRecord service, String writeId) {
         ServiceRecord next = service;
         for (InstanceRecord i : view.instancesOf(service.name())) {
@@ -40,7 +41,7 @@
         return next.equals(service) ? Optional.empty() : Optional.of(next);
     }
 
-    /** Returns how many instances must stay available: the budget and what the reserve holds back. */
+    /** Returns the number of instances that must stay available: the budget plus the reserve. */
     public static int minAvailable(FleetView view, ServiceRecord service) {
         return service.budget()
                 + service.reserve()
--- a/core/src/main/java/org/lupinpaddle/core/service/Permit.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/Permit.java
@@ -16,16 +16,16 @@
 package org.lupinpaddle.core.service;
 
 /**
- * Leave for one instance to be out of its service on purpose.
+ * Permission for one instance to be out of its service on purpose.
  *
  * <p>A permit is used once: the instance's own record names the permit that it has spent, in the write that
- * brings the instance back or declines to let it go. Only a spent permit may be struck off, and no instance
- * leaves on a spent one, so a driver with an old view can not let an instance go on a permit that another
- * driver gives up at the same moment.
+ * brings the instance back or declines to drain it. Only a spent permit may be removed, and no instance is
+ * drained on a spent permit. A driver with a stale view therefore can not drain an instance on a permit that
+ * another driver removes at the same moment.
  *
  * @param id unique among all permits
- * @param instance the instance
- * @param wave the wave that took it out
+ * @param instance the id of the instance
+ * @param wave the wave that drains the instance
  * @param incarnation the incarnation that may be drained and rebooted
  */
 public record Permit(String id, String instance, String wave, long incarnation) {}
--- a/core/src/main/java/org/lupinpaddle/core/service/Reserve.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/Reserve.java
@@ -22,26 +22,26 @@
 import org.lupinpaddle.core.instance.InstanceRecord;
 
 /**
- * How many instances a service keeps available above its budget during a wave, so that a failure that
- * comes while instances are out does not break the budget. No system can prevent a failure; the reserve
- * says how much failing at once is paid for.
+ * The number of instances that a service keeps available above its budget during a wave, so that a failure
+ * while instances are out does not break the budget. The reserve states how many simultaneous failures are
+ * covered.
  */
 public enum Reserve {
-    /** Nothing is held back: a failure during a wave may break the budget until the drains are put back. */
+    /** No reserve: a failure during a wave may break the budget until drained instances are undrained. */
     NONE {
         @Override
         public int size(Collection<InstanceRecord> members) {
             return 0;
         }
     },
-    /** One instance may fail. */
+    /** Covers the failure of one instance. */
     INSTANCE {
         @Override
         public int size(Collection<InstanceRecord> members) {
             return 1;
         }
     },
-    /** The rack that holds most of the service's instances may fail. */
+    /** Covers the failure of the rack that holds most of the service's instances. */
     RACK {
         @Override
         public int size(Collection<InstanceRecord> members) {
@@ -51,6 +51,6 @@
         }
     };
 
-    /** Returns how many instances are held back for a service with these members. */
+    /** Returns the number of instances kept in reserve for a service with these members. */
     public abstract int size(Collection<InstanceRecord> members);
 }
--- a/core/src/main/java/org/lupinpaddle/core/service/ServiceRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/ServiceRecord.java
@@ -22,18 +22,18 @@
 import java.util.TreeSet;
 
 /**
- * A service's availability budget and its ledger, in one value so that one compare-and-swap orders every
- * permit, every joiner, every leaver and every change of the budget. The members counted here are a
- * subset of the instances that truly serve: a joiner is added only once it is in service, a leaver is
- * struck off before its pool changes.
+ * A service's availability budget, its members and its permits. They share one value so that one
+ * compare-and-swap orders every permit, every added or removed member and every change of the budget. The
+ * members are a subset of the instances that serve: an instance is added only once it is in service, and
+ * removed before its pool changes.
  *
  * @param name the service's name
- * @param budget the least number of instances that must be available
- * @param reserve what is held back above the budget
- * @param members the instances counted for the service
- * @param permits the members that are out on purpose, by instance
- * @param retired whether the service takes no more requests
- * @param operator who last set the budget or the reserve
+ * @param budget the minimum number of instances that must be available
+ * @param reserve the instances kept available above the budget
+ * @param members the ids of the instances counted for the service
+ * @param permits the permits of members that are out on purpose, by instance id
+ * @param retired whether the service accepts no more requests
+ * @param operator the operator who last set the budget or the reserve
  * @param writeId the id of the write that made this value
  */
 public record ServiceRecord(
@@ -51,14 +51,14 @@
         return new ServiceRecord(name, budget, reserve, new TreeSet<>(), new TreeMap<>(), false, operator, writeId);
     }
 
-    /** Returns how many members are neither out on purpose nor among the failed. */
+    /** Returns the number of members that have no permit and have not failed. */
     public int available(Set<String> failed) {
         return (int) members.stream()
                 .filter(m -> !permits.containsKey(m) && !failed.contains(m))
                 .count();
     }
 
-    /** Returns whether one more member may leave when {@code minAvailable} must stay available. */
+    /** Returns whether the instance may be drained while at least {@code minAvailable} members stay available. */
     public boolean canRelease(String instance, Set<String> failed, int minAvailable) {
         if (!members.contains(instance) || permits.containsKey(instance)) {
             return false;
@@ -67,28 +67,28 @@
         return available(failed) - cost >= minAvailable;
     }
 
-    /** Returns the ledger with a permit added. */
+    /** Returns the record with the permit added. */
     public ServiceRecord withPermit(Permit permit, String newWriteId) {
         SortedMap<String, Permit> all = new TreeMap<>(permits);
         all.put(permit.instance(), permit);
         return new ServiceRecord(name, budget, reserve, members, all, retired, operator, newWriteId);
     }
 
-    /** Returns the ledger with the instance's permit taken away and the instance still a member. */
+    /** Returns the record without the instance's permit; the instance stays a member. */
     public ServiceRecord withoutPermit(String instance, String newWriteId) {
         SortedMap<String, Permit> all = new TreeMap<>(permits);
         all.remove(instance);
         return new ServiceRecord(name, budget, reserve, members, all, retired, operator, newWriteId);
     }
 
-    /** Returns the ledger with the instance counted as a member. */
+    /** Returns the record with the instance as a member. */
     public ServiceRecord withMember(String instance, String newWriteId) {
         SortedSet<String> all = new TreeSet<>(members);
         all.add(instance);
         return new ServiceRecord(name, budget, reserve, all, permits, retired, operator, newWriteId);
     }
 
-    /** Returns the ledger with the instance and its permit struck off. */
+    /** Returns the record without the instance and its permit. */
     public ServiceRecord withoutMember(String instance, String newWriteId) {
         SortedSet<String> all = new TreeSet<>(members);
         all.remove(instance);
@@ -97,12 +97,12 @@
         return new ServiceRecord(name, budget, reserve, all, left, retired, operator, newWriteId);
     }
 
-    /** Returns the ledger with another budget and reserve. */
+    /** Returns the record with another budget and reserve. */
     public ServiceRecord withBudget(int newBudget, Reserve newReserve, String by, String newWriteId) {
         return new ServiceRecord(name, newBudget, newReserve, members, permits, retired, by, newWriteId);
     }
 
-    /** Returns the service marked as taking no more requests. */
+    /** Returns the record marked as retired. */
     public ServiceRecord asRetired(String by, String newWriteId) {
         return new ServiceRecord(name, budget, reserve, members, permits, true, by, newWriteId);
     }
--- a/core/src/main/java/org/lupinpaddle/core/service/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/service/package-info.java
@@ -1,4 +1,4 @@
-/** One service: its availability budget and the ledger of instances that are out on purpose. */
+/** Services: availability budgets, members, and permits for instances that are out on purpose. */
 @NullMarked
 package org.lupinpaddle.core.service;
 
