--- a/core/src/main/java/org/lupinpaddle/core/instance/InstanceRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/InstanceRecord.java
@@ -20,20 +20,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the store says of one instance. The pool is stated here and nowhere else, so an instance is in
- * exactly one pool whatever else goes wrong.
+ * The stored state of one instance. Its pool is recorded only here, so an instance is always in exactly one
+ * pool.
  *
  * @param id the platform's name of the instance
- * @param pool the one pool it belongs to
- * @param hall the data hall it stands in
- * @param rack the rack it stands in
+ * @param pool the pool it belongs to
+ * @param hall the data hall that contains it
+ * @param rack the rack that contains it
  * @param address the worker's IP and port
- * @param slots how many requests it runs at once
+ * @param slots the number of requests it runs concurrently
  * @param memoryMb memory of the worker, in megabytes
- * @param state where it is in its life
- * @param incarnation counts its starts, as last seen in service; 0 before it was first seen
+ * @param state its lifecycle state
+ * @param incarnation the number of its starts, as last seen in service; 0 before it was first seen
  * @param wave the wave that holds it while it is not in service, or null
- * @param spentPermit the last permit that it left its service on, or declined; null before the first
+ * @param spentPermit the last permit that it was drained on or that it declined; null before the first
  * @param doneWaves the last waves that finished with it, newest first
  */
 public record InstanceRecord(
@@ -50,7 +50,7 @@
         @Nullable String spentPermit,
         List<String> doneWaves) {
 
-    // Waves that cover the same instance can overlap only when two operators start them at one moment.
+    // Few are needed: waves on the same instance overlap only if two operators start them at the same moment.
     private static final int MAX_DONE_WAVES = 4;
 
     /** Returns whether the wave has finished with the instance. */
@@ -58,17 +58,17 @@
         return doneWaves.contains(waveName);
     }
 
-    /** Returns whether this wave holds the instance now. */
+    /** Returns whether the wave currently holds the instance. */
     public boolean isHeldBy(String waveName) {
         return waveName.equals(wave);
     }
 
-    /** Returns a builder that starts with nothing but the id. */
+    /** Returns a builder with only the id set. */
     public static Builder builder(String id) {
         return new Builder(id);
     }
 
-    /** Returns a builder that starts with the values of this record. */
+    /** Returns a builder with the values of this record. */
     public Builder toBuilder() {
         return new Builder(id)
                 .pool(pool)
@@ -145,7 +145,7 @@
             return this;
         }
 
-        /** Sets the permit that is spent. */
+        /** Sets the id of the last spent permit. */
         public Builder spentPermit(@Nullable String permitId) {
             this.spentPermit = permitId;
             return this;
--- a/core/src/main/java/org/lupinpaddle/core/instance/InstanceState.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/InstanceState.java
@@ -16,19 +16,19 @@
 package org.lupinpaddle.core.instance;
 
 /**
- * The states of an instance, in the order in which a wave takes it through them. Only an instance that
- * is in service gets new work; all others are leaving or away.
+ * The lifecycle states of an instance, in the order in which a wave passes through them. Only an instance in
+ * service accepts new work.
  */
 public enum InstanceState {
-    /** Serves its pool. */
+    /** Serves requests for its pool. */
     IN_SERVICE(true, false),
-    /** Gets no new work; finishes what it has. */
+    /** Draining: accepts no new work and finishes its current work. */
     LEAVING(false, true),
-    /** Idle, and the platform has been or will be asked to reboot it. There is no way back from here. */
+    /** Idle; the platform has been or will be asked to reboot it. The drain can no longer be undone. */
     REBOOTING(false, false),
-    /** Was leaving, and is being put back before its reboot. */
+    /** Was leaving and is being undrained before its reboot. */
     RETURNING(false, false),
-    /** Taken out of the fleet for good. */
+    /** Permanently removed from the fleet. */
     RETIRED(false, false);
 
     private final boolean acceptsWork;
@@ -44,7 +44,7 @@
         return acceptsWork;
     }
 
-    /** Returns whether a drain in this state can still be taken back. */
+    /** Returns whether a drain in this state can still be undone. */
     public boolean canUndrain() {
         return canUndrain;
     }
--- a/core/src/main/java/org/lupinpaddle/core/instance/ShardRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/ShardRecord.java
@@ -19,18 +19,18 @@
 import java.util.TreeMap;
 
 /**
- * Some dozens of instances in one value of the store: few enough that a change stays small, enough that
- * a range read of the fleet takes few records.
+ * A group of some dozens of instances stored under one key: few enough that a change rewrites little, enough
+ * that a range read of the fleet returns few records.
  *
  * @param instances the instances by id
- * @param writeId the id of the write that made this value, to tell after a lost reply whether it was ours
+ * @param writeId the id of the write that made this value; identifies the writer's own write after a lost reply
  */
 public record ShardRecord(SortedMap<String, InstanceRecord> instances, String writeId) {
 
     /** A shard without instances. */
     public static final ShardRecord EMPTY = new ShardRecord(new TreeMap<>(), "");
 
-    /** Returns this shard with the instance put in or replaced. */
+    /** Returns this shard with the instance added or replaced. */
     public ShardRecord with(InstanceRecord instance, String newWriteId) {
         SortedMap<String, InstanceRecord> all = new TreeMap<>(instances);
         all.put(instance.id(), instance);
--- a/core/src/main/java/org/lupinpaddle/core/instance/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/instance/package-info.java
@@ -1,4 +1,4 @@
-/** One instance of the fleet: its pool, its place, its state, and the shard record that holds it. */
+/** Instances: their pool, location and state, and the shard record that stores them. */
 @NullMarked
 package org.lupinpaddle.core.instance;
 
