--- a/core/src/main/java/org/lupinpaddle/core/pool/PoolRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/pool/PoolRecord.java
@@ -18,13 +18,13 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One pool of instances.
+ * A pool of instances.
  *
  * @param name the pool's name
  * @param service the service that the pool's workers run, or null for a pool of spare instances
- * @param site the site that the pool stands for; informative, an instance states its own hall
- * @param retired whether the pool takes no more instances
- * @param operator who made or retired it
+ * @param site the pool's site; informative only, each instance records its own hall
+ * @param retired whether the pool accepts no more instances
+ * @param operator the operator who created or retired it
  * @param writeId the id of the write that made this value
  */
 public record PoolRecord(
--- a/core/src/main/java/org/lupinpaddle/core/pool/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/pool/package-info.java
@@ -1,4 +1,4 @@
-/** One pool: the service and the site it belongs to. */
+/** Pools: the service and the site that each belongs to. */
 @NullMarked
 package org.lupinpaddle.core.pool;
 
