--- a/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
+++ b/core/src/main/java/org/lupinpaddle/core/ownership/OwnerRank.java
@@ -23,29 +23,29 @@
 import org.lupinpaddle.core.common.RendezvousHash;
 
 /**
- * The order in which entries try for a duty that nobody owns: those first that would have least to do for what they can
- * do, then by rendezvous hashing. It only spreads the attempts; who owns the duty is decided by the store.
+ * Ranks the entries that compete for an unowned duty: by load relative to capacity, lowest first, then by rendezvous
+ * hashing. The rank only spreads the attempts over time; the store decides who owns the duty.
  */
 public final class OwnerRank {
 
-    /** What an entry can do that has not told: a whole core, in thousandths of one. */
+    /** The capacity assumed for an entry that has not published one: one core, in thousandths of a core. */
     public static final long DEFAULT_CAPACITY = 1_000;
 
     private final Map<String, Integer> owned;
     private final Map<String, Long> capacities;
 
     /**
-     * Makes the order.
+     * Creates a ranking.
      *
-     * @param owned how many duties each entry owns; one that is missing owns none
-     * @param capacities how much each entry can do, in thousandths of a core; a missing one has the usual
+     * @param owned the number of duties of each entry; a missing entry owns none
+     * @param capacities the capacity of each entry, in thousandths of a core; a missing entry has the default
      */
     public OwnerRank(Map<String, Integer> owned, Map<String, Long> capacities) {
         this.owned = Map.copyOf(owned);
         this.capacities = Map.copyOf(capacities);
     }
 
-    /** Returns the place of an entry among all for a duty, from 0. */
+    /** Returns the rank of an entry among all entries for a duty, from 0. */
     public int position(String entry, String duty, Collection<String> entries) {
         List<String> hashed = RendezvousHash.rank(duty, entries);
         List<String> order = hashed.stream()
@@ -55,8 +55,8 @@
     }
 
     /**
-     * Returns the entry that had better take one of another's duties: even with it, it has less to do for what it can do
-     * than the other has now.
+     * Returns the entry that should take over one of this entry's duties: the one whose load relative to capacity,
+     * including that duty, would be lowest and below this entry's current load.
      */
     public Optional<String> handOverTarget(String entry, Collection<String> others) {
         return others.stream()
--- a/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/ownership/OwnerRankTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Who tries first for a duty, and who hands one over. */
+/** Tests the ranking of entries for a duty and the choice of the entry that takes a duty over. */
 class OwnerRankTest {
 
     private static final List<String> ENTRIES = List.of("large-1", "large-2", "small-1", "small-2", "small-3");
