--- a/core/src/main/java/org/lupinpaddle/core/view/FleetView.java
+++ b/core/src/main/java/org/lupinpaddle/core/view/FleetView.java
@@ -38,9 +38,10 @@
 
 /**
  * The configuration as one entry knows it: the last value of each record at one revision of the store. A
- * record is taken only with a higher revision than the one held, and the view's own revision only grows,
- * so what is in force never reverts, wherever a batch comes from. A batch holds every record written
- * after some revision up to its own, so the view is always a state that the store once had.
+ * record is applied only if its revision is higher than that of the held record, and the view's own revision
+ * only grows, so the configuration in force never reverts, whatever the source of a batch. A batch contains
+ * every record written after some revision up to its own, so the view is always a state that the store once
+ * had.
  */
 public final class FleetView {
 
@@ -56,9 +57,9 @@
     private long contentRevision;
 
     /**
-     * Takes a batch that holds all that was written after {@code afterRevision} up to {@code toRevision}.
+     * Applies a batch that contains every record written after {@code afterRevision} up to {@code toRevision}.
      *
-     * @return whether anything changed; a batch that would leave a gap is not taken
+     * @return whether the batch was applied; a batch that would leave a gap is ignored
      */
     public boolean apply(Collection<StoredRecord> batch, long afterRevision, long toRevision) {
         if (afterRevision > revision || toRevision <= revision) {
@@ -104,17 +105,17 @@
         instances.putAll(shard.instances());
     }
 
-    /** Returns the revision of the store that this view shows; 0 before the first batch. */
+    /** Returns the store revision that this view reflects; 0 before the first batch. */
     public long revision() {
         return revision;
     }
 
-    /** Returns the revision of the newest record of the configuration that this view holds. */
+    /** Returns the revision of the newest configuration record in this view. */
     public long contentRevision() {
         return contentRevision;
     }
 
-    /** Returns the records written after {@code afterRevision}, for a neighbour that has that revision. */
+    /** Returns the records written after {@code afterRevision}, for a peer that has that revision. */
     public List<StoredRecord> recordsAfter(long afterRevision) {
         return records.values().stream()
                 .filter(r -> r.revision() > afterRevision)
@@ -122,7 +123,7 @@
                 .toList();
     }
 
-    /** Returns the revision of the last write to the key, or 0 where there is none. */
+    /** Returns the revision of the last write to the key, or 0 if the key is absent. */
     public long revisionOf(String key) {
         StoredRecord r = records.get(key);
         return r == null ? 0 : r.revision();
@@ -153,7 +154,7 @@
         return instances;
     }
 
-    /** Returns the shard that holds, or would hold, the instance. */
+    /** Returns the shard that the instance belongs to, whether or not it is stored yet. */
     public ShardRecord shardOf(String instance) {
         return shards.getOrDefault(StoreKeys.shardOf(instance), ShardRecord.EMPTY);
     }
@@ -173,7 +174,7 @@
         return Collections.unmodifiableList(byService.getOrDefault(service, List.of()));
     }
 
-    // Made once for a state of the view: looking through the fleet for each service would grow as its square.
+    // Built once per state of the view: scanning the fleet for each service would take quadratic time.
     private void indexByService() {
         for (InstanceRecord i : instances.values()) {
             PoolRecord p = pools.get(i.pool());
@@ -184,7 +185,7 @@
         }
     }
 
-    /** Returns the records that could not be read, for the log; the list is emptied. */
+    /** Returns the records that could not be read, for logging, and clears the list. */
     public List<String> drainUnreadable() {
         List<String> all = List.copyOf(unreadable);
         unreadable.clear();
--- a/core/src/main/java/org/lupinpaddle/core/view/StoredRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/view/StoredRecord.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.core.view;
 
 /**
- * One record as the store holds it.
+ * A record in its stored form.
  *
  * @param key the key
  * @param value the text of the record
--- a/core/src/main/java/org/lupinpaddle/core/view/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/view/package-info.java
@@ -1,4 +1,4 @@
-/** What one entry knows of the configuration, at one revision. */
+/** An entry's view of the configuration at one store revision. */
 @NullMarked
 package org.lupinpaddle.core.view;
 
--- a/core/src/test/java/org/lupinpaddle/core/view/FleetViewProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/view/FleetViewProperties.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.common.StoreKeys;
 import org.lupinpaddle.core.pool.PoolRecord;
 
-/** What is in force never reverts, in whatever order and from whatever source batches come. */
+/** The configuration in force never reverts, whatever the order and source of batches. */
 class FleetViewProperties {
 
     private static StoredRecord pool(String name, long revision) {
@@ -63,7 +63,7 @@
         }
     }
 
-    // The view shows, record by record, what the store held at the view's revision.
+    // Checks that each record in the view equals the stored one at the view's revision.
     private static void assertMatchesStore(FleetView view, List<StoredRecord> log) {
         for (StoredRecord r : between(log, 0, view.revision())) {
             assertEquals(r.value(), view.text(r.key()).orElse("none"));
