--- a/core/src/main/java/org/lupinpaddle/core/common/CheckedRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/CheckedRecord.java
@@ -17,9 +17,9 @@
 
 import java.util.Optional;
 
-/** A record of the store that tells which of its values have no meaning, besides being of the right types. */
+/** A stored record that validates its own values beyond their types. */
 public interface CheckedRecord {
 
-    /** Returns what is wrong with it, or nothing. */
+    /** Returns why the record is invalid, or empty if it is valid. */
     Optional<Unreadable> findError();
 }
--- a/core/src/main/java/org/lupinpaddle/core/common/Clock.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Clock.java
@@ -16,12 +16,12 @@
 package org.lupinpaddle.core.common;
 
 /**
- * The only source of time. Every time and every duration of the project is a whole number of
- * milliseconds; times count from an origin that is fixed for the life of a process.
+ * The only source of time. All times and durations are whole milliseconds; times count from an origin that is
+ * fixed for the lifetime of a process.
  */
 @FunctionalInterface
 public interface Clock {
 
-    /** Returns the time now, in milliseconds. */
+    /** Returns the current time in milliseconds. */
     long millis();
 }
--- a/core/src/main/java/org/lupinpaddle/core/common/ExponentialMovingAverage.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/ExponentialMovingAverage.java
@@ -16,8 +16,8 @@
 package org.lupinpaddle.core.common;
 
 /**
- * A mean of what has been sample: of all of it at first, then of the newest, each of which counts at least a given weight
- * (an exponentially weighted mean with the plain one as its start).
+ * An exponentially weighted moving average that starts as a plain mean: the n-th sample has the weight 1/n, but
+ * never less than a given minimum, so that recent samples count more.
  */
 public final class ExponentialMovingAverage {
 
@@ -25,23 +25,23 @@
     private int count;
     private double value;
 
-    /** Makes the mean of nothing, which is 0. */
+    /** Creates an average without samples, whose value is 0. */
     public ExponentialMovingAverage(double minWeight) {
         this.minWeight = minWeight;
     }
 
-    /** Takes in one more. */
+    /** Adds a sample. */
     public void add(double sample) {
         count++;
         value += (sample - value) * Math.max(1.0 / count, minWeight);
     }
 
-    /** Returns how many have been taken in. */
+    /** Returns the number of samples. */
     public int count() {
         return count;
     }
 
-    /** Returns the mean. */
+    /** Returns the current average. */
     public double value() {
         return value;
     }
--- a/core/src/main/java/org/lupinpaddle/core/common/RecordCodec.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/RecordCodec.java
@@ -34,9 +34,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Writes the records of the store as JSON and reads them back. Members that this version does not know
- * are passed over, so that two versions can share a store during a roll-out. All else is strict: a member that is absent
- * without being nullable, or of another type, makes the record unreadable instead of standing for nothing.
+ * Writes stored records as JSON and reads them back. Unknown members are ignored, so that two versions can share a
+ * store during a roll-out. Everything else is strict: a missing member that is not nullable, or a member of another
+ * type, makes the record unreadable instead of falling back to a default.
  */
 public final class RecordCodec {
 
@@ -64,11 +64,11 @@
         try {
             return MAPPER.writeValueAsString(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalArgumentException("not a record of the store: " + value.getClass(), e);
+            throw new IllegalArgumentException("cannot serialize record: " + value.getClass(), e);
         }
     }
 
-    /** Returns the record that the text holds, or what is wrong with the text. */
+    /** Returns the parsed record, or the reason why the text is invalid. */
     public static <T> Either<Unreadable, T> read(String text, Class<T> type) {
         try {
             T value = MAPPER.readValue(text, type);
--- a/core/src/main/java/org/lupinpaddle/core/common/RendezvousHash.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/RendezvousHash.java
@@ -21,8 +21,8 @@
 import java.util.List;
 
 /**
- * Highest-random-weight hashing (Thaler and Ravishankar, 1998). All nodes that see the same members
- * name the same one for a key without a message, and a member that leaves moves only its own keys.
+ * Highest-random-weight hashing (Thaler and Ravishankar, 1998). All nodes with the same member list select the
+ * same member for a key without communicating, and a member that leaves moves only its own keys.
  */
 public final class RendezvousHash {
 
@@ -57,7 +57,7 @@
         return h;
     }
 
-    // Finalizer of MurmurHash3: FNV alone leaves the high bits of short keys alike.
+    // Finalizer of MurmurHash3: FNV alone leaves the high bits of short keys nearly equal.
     private static long mix(long x) {
         long h = x;
         h = (h ^ (h >>> 33)) * 0xff51afd7ed558ccdL;
--- a/core/src/main/java/org/lupinpaddle/core/common/RequiredComponentsIntrospector.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/RequiredComponentsIntrospector.java
@@ -23,7 +23,7 @@
 import java.lang.reflect.RecordComponent;
 import org.jspecify.annotations.Nullable;
 
-/** Tells the codec that a member of a record must be there, and not be null, unless it is declared nullable. */
+/** Makes Jackson reject a record whose component is missing or null, unless the component is nullable. */
 final class RequiredComponentsIntrospector extends JacksonAnnotationIntrospector {
 
     private static final long serialVersionUID = 1;
--- a/core/src/main/java/org/lupinpaddle/core/common/StoreKeys.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/StoreKeys.java
@@ -16,15 +16,15 @@
 package org.lupinpaddle.core.common;
 
 /**
- * The keys of the platform's store. Records of the configuration share one prefix, so that one range
- * read above a revision returns all that has changed since. They are never deleted, only marked as
- * retired, for a range above a revision does not show a deletion.
+ * The keys of the platform's store. Configuration records share one prefix, so that one range read above a
+ * revision returns everything that has changed since. They are never deleted, only marked as retired, because
+ * a range read above a revision does not show deletions.
  */
 public final class StoreKeys {
 
-    /** Prefix of all that belongs to the configuration. */
+    /** Prefix of all configuration records. */
     public static final String CONFIG = "lupinpaddle/config/";
-    /** Prefix of the entries' registrations, each under its lease. */
+    /** Prefix of the registrations of entries; each is bound to the entry's lease. */
     public static final String ENTRIES = "lupinpaddle/entry/";
 
     private static final String SERVICES = CONFIG + "service/";
@@ -34,12 +34,12 @@
     private static final String DRIVERS = "lupinpaddle/driver/";
     private static final String CLAIMS = "lupinpaddle/claim/";
 
-    // At 1,100 instances a shard holds about 34: a change rewrites some dozens of instances, not the fleet.
+    // At 1,100 instances a shard holds about 34: a change rewrites some dozens of instances instead of the fleet.
     private static final int SHARD_COUNT = 32;
 
     private StoreKeys() {}
 
-    /** Returns the key of a service's ledger. */
+    /** Returns the key of a service. */
     public static String service(String name) {
         return SERVICES + name;
     }
@@ -59,7 +59,7 @@
         return SHARDS + String.format("%02d", RendezvousHash.bucket(instance, SHARD_COUNT));
     }
 
-    /** Returns the key that an entry holds, under its lease, while it drives a wave. */
+    /** Returns the key that an entry holds, bound to its lease, while it drives a wave. */
     public static String driver(String wave) {
         return DRIVERS + wave;
     }
@@ -74,22 +74,22 @@
         return CLAIMS + service + "/" + jobId;
     }
 
-    /** Returns whether the key is one of a service. */
+    /** Returns whether the key belongs to a service. */
     public static boolean isService(String key) {
         return key.startsWith(SERVICES);
     }
 
-    /** Returns whether the key is one of a pool. */
+    /** Returns whether the key belongs to a pool. */
     public static boolean isPool(String key) {
         return key.startsWith(POOLS);
     }
 
-    /** Returns whether the key is one of a shard of instances. */
+    /** Returns whether the key belongs to a shard of instances. */
     public static boolean isShard(String key) {
         return key.startsWith(SHARDS);
     }
 
-    /** Returns whether the key is one of a wave. */
+    /** Returns whether the key belongs to a wave. */
     public static boolean isWave(String key) {
         return key.startsWith(WAVES);
     }
--- a/core/src/main/java/org/lupinpaddle/core/common/Unreadable.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Unreadable.java
@@ -18,58 +18,58 @@
 import java.util.Locale;
 
 /**
- * Why a record of the store can not be used.
+ * The reason why a stored record can not be used.
  *
- * @param reason what is wrong
- * @param field the member it is wrong with, as a path; empty for the record as a whole
+ * @param reason the kind of fault
+ * @param field the path of the faulty member; empty for the record as a whole
  */
 public record Unreadable(Reason reason, String field) {
 
-    // Names of members come from whoever wrote the record, and this goes into log lines.
+    // Member names come from the writer of the record and appear in log lines, so their length is limited.
     private static final int MAX_FIELD_CHARS = 60;
 
-    /** What can be wrong with a record. */
+    /** Kinds of faults in a record. */
     public enum Reason {
-        /** Its bytes are no text. */
+        /** The bytes are not valid text. */
         NOT_TEXT,
-        /** Its text is no JSON, or more than one value, or names a member twice. */
+        /** The text is not JSON, contains more than one value or repeats a member name. */
         NOT_JSON,
-        /** It is JSON, but of another shape than the record. */
+        /** The JSON value does not have the shape of the record. */
         NOT_AN_OBJECT,
-        /** A member that must be there is absent or null. */
+        /** A required member is absent or null. */
         MISSING,
-        /** A member is of another type. */
+        /** A member has the wrong type. */
         WRONG_TYPE,
-        /** A number is not among those that have a meaning. */
+        /** A number is outside its valid range. */
         OUT_OF_RANGE,
-        /** A text or a list is longer than any that has a meaning. */
+        /** A text or a list exceeds its maximum length. */
         TOO_LONG,
-        /** A word is none of those that are known. */
+        /** A word is not a known constant. */
         UNKNOWN_WORD,
-        /** A text has not the form that it must have. */
+        /** A text does not have the required format. */
         MALFORMED,
-        /** The record names something else than the key under which it lies. */
+        /** The record does not match the key under which it is stored. */
         NOT_OF_ITS_KEY,
-        /** Another entry has the same value, which must be unique. */
+        /** Another entry has the same value, although it must be unique. */
         NOT_UNIQUE;
 
-        /** Returns the reason about a record as a whole. */
+        /** Returns this fault for a record as a whole. */
         public Unreadable whole() {
             return new Unreadable(this, "");
         }
 
-        /** Returns the reason about one member. */
+        /** Returns this fault for one member. */
         public Unreadable in(String field) {
             return new Unreadable(this, field);
         }
     }
 
-    /** Makes a reason; a long name of a member is cut. */
+    /** Creates a value; a long member path is truncated. */
     public Unreadable {
         field = field.length() <= MAX_FIELD_CHARS ? field : field.substring(0, MAX_FIELD_CHARS);
     }
 
-    /** Returns both, as log lines and operators show them. */
+    /** Returns the reason and the field in the form shown in logs and to operators. */
     @Override
     public String toString() {
         String word = reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
--- a/core/src/main/java/org/lupinpaddle/core/common/Urgency.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Urgency.java
@@ -18,15 +18,15 @@
 import java.util.Optional;
 
 /**
- * The classes of work. A class waits as if it had arrived later by its handicap, so urgent work goes
- * first while work that has waited longer than its handicap can not be passed over for ever.
+ * The urgency classes of work. Each class is queued as if it had arrived later by its handicap, so urgent work
+ * goes first, while work that has waited longer than its handicap can not be starved.
  */
 public enum Urgency {
-    /** A clip for the morning news, a fault check: starts before anything else. */
+    /** Starts before everything else, such as a clip for the morning news or a fault check. */
     URGENT("urgent", 0, 100),
     /** Ordinary work. */
     NORMAL("normal", 60_000, 80),
-    /** Archive and rebroadcast work: may wait for minutes behind the others. */
+    /** May wait for minutes behind the other classes, such as archive and rebroadcast work. */
     MAY_WAIT("may-wait", 600_000, 50);
 
     private static final int PERCENT = 100;
@@ -46,17 +46,17 @@
         return wireName;
     }
 
-    /** Returns the time by which this class is ordered in a queue, for work that came at {@code arrival}. */
+    /** Returns the time by which work of this class that arrived at {@code arrival} is ordered in a queue. */
     public long orderTime(long arrival) {
         return arrival + handicapMillis;
     }
 
-    /** Returns how many of {@code places} in a queue may be taken when work of this class asks for one. */
+    /** Returns the queue length from which work of this class is refused, for a queue of this capacity. */
     public int queueLimit(int capacity) {
         return capacity * queueShare / PERCENT;
     }
 
-    /** Returns the class with this wire name, or nothing. */
+    /** Returns the class with this wire name, or empty if there is none. */
     public static Optional<Urgency> ofWireName(String name) {
         for (Urgency u : values()) {
             if (u.wireName.equals(name)) {
--- a/core/src/main/java/org/lupinpaddle/core/common/Verdict.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/Verdict.java
@@ -16,13 +16,13 @@
 package org.lupinpaddle.core.common;
 
 /**
- * Says whether a request may have run on a worker. {@link #NOT_RUN} is a promise: no byte of the
- * request can have been acted on. When in doubt the verdict is {@link #MAY_HAVE_RUN}.
+ * States whether a request may have run on a worker. {@link #NOT_RUN} is a guarantee: no byte of the request
+ * can have been acted on. In doubt the verdict is {@link #MAY_HAVE_RUN}.
  */
 public enum Verdict {
-    /** No worker has started the request. It is safe to send it again, also when it is unsafe to repeat. */
+    /** No worker has started the request. Sending it again is safe even if the request is not idempotent. */
     NOT_RUN("not-run"),
-    /** A worker may have started the request, in part or in whole. */
+    /** A worker may have run the request in part or in full. */
     MAY_HAVE_RUN("may-have-run"),
     /** A worker has answered the request. */
     RAN("ran");
@@ -38,7 +38,7 @@
         return wireName;
     }
 
-    /** Returns the verdict that covers both this one and {@code other}, the less certain one first. */
+    /** Returns the later of the two verdicts in declaration order, which covers both attempts. */
     public Verdict and(Verdict other) {
         return compareTo(other) >= 0 ? this : other;
     }
--- a/core/src/main/java/org/lupinpaddle/core/common/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/common/package-info.java
@@ -1,4 +1,4 @@
-/** The little that every other package shares: the clock, the verdict, urgencies, keys and hashing. */
+/** Shared basics: clock, verdicts, urgency classes, record codec, store keys and hashing. */
 @NullMarked
 package org.lupinpaddle.core.common;
 
--- a/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
@@ -54,7 +54,7 @@
 import org.lupinpaddle.core.job.TaskRecord;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 
-/** Records of ours as another version, or another program, may have written them: read whole or not at all. */
+/** Records written by another version or another program are read completely or rejected. */
 class RecordCodecProperties {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -62,7 +62,7 @@
     private static final JobProgress PROGRESS =
             new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 1, 2, 1, false, "w1", "cp")), "why", 9);
 
-    /** The members without which the rest of a record is worth keeping. */
+    /** The members that may be invalid without making the rest of the record unreadable. */
     private static final Set<String> CRASH_PATHS = Set.of("/tasks/0/8", "/tasks/0/9", "/tasks/0/10");
 
     private static final List<Object> RECORDS = List.of(
@@ -129,7 +129,7 @@
         }
     }
 
-    /** Returns whether a value may stand where the other stands; a whole number may stand for any number. */
+    /** Returns whether a value has a type accepted in place of the other; an integer is accepted for any number. */
     private static boolean fits(JsonNode there, JsonNode value) {
         return there.getNodeType() == value.getNodeType()
                 && (there.isIntegralNumber() == value.isIntegralNumber() || there.isFloatingPointNumber());
@@ -160,7 +160,7 @@
         JsonNode tree = tree(record);
         List<String> paths = paths(tree, "").stream()
                 .filter(p -> tree.at(p.substring(0, p.lastIndexOf('/'))).isObject())
-                // Rows of maps are no members: an instance without its row is left alone for longest.
+                // Map entries are not required members: an instance without an entry is left alone longest.
                 .filter(p -> !p.startsWith("/lifeByInstance/") && !p.startsWith("/waitMillisByInstance/"))
                 .toList();
         String path = paths.get(Math.floorMod(drawn, paths.size()));
@@ -198,7 +198,7 @@
         assertTrue(RecordCodec.read(tree.toString(), JobProgress.class).isLeft(), tree.toString());
     }
 
-    /** A task whose count of crashes nobody can tell is not left without an owner for that, and it is told. */
+    /** An unreadable crash count must not leave the task without an owner, and it is reported. */
     @Property(tries = 300)
     void readsInvalidCrashCountAsZeroAndReportsIt(
             @ForAll("invalidCounts") JsonNode value, @ForAll("crashColumns") int column) {
@@ -222,7 +222,7 @@
                 p, RecordCodec.read(RecordCodec.write(p), JobProgress.class).get());
     }
 
-    /** As a version writes it that does not know that workers restart under their ids. */
+    /** Records written by a version that does not know worker start times lack this column. */
     @Example
     void readsTaskWithoutWorkerStartTime() {
         JsonNode tree = tree(PROGRESS);
@@ -256,7 +256,7 @@
                 p, RecordCodec.read(RecordCodec.write(p), JobProgress.class).get());
     }
 
-    /** As a version writes it that does not count. */
+    /** Records written by a version that does not count crashes lack these columns. */
     @Example
     void readsTaskWithoutCrashCounts() {
         JsonNode tree = tree(PROGRESS);
