--- a/core/src/main/java/org/lupinpaddle/core/command/BaseCommand.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/BaseCommand.java
@@ -22,7 +22,7 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 
-/** The words of one command, which give its typed form. The commands that stand in no group are here. */
+/** Parsed options and arguments of a command, which produce its typed form. Declares the ungrouped commands. */
 public abstract class BaseCommand implements Supplier<OperatorCommand> {
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
@@ -31,7 +31,7 @@
         return List.of(StatusCommand.class, EntriesCommand.class, MetricsCommand.class, TraceCommand.class);
     }
 
-    /** Returns a name if it is one, or fails with what a name is. */
+    /** Returns the given name if it is valid, or fails with a message that states the valid form. */
     static String name(String s) {
         if (!NAME.matcher(s).matches()) {
             throw new IllegalArgumentException(
@@ -40,7 +40,7 @@
         return s;
     }
 
-    /** Says what is in force. */
+    /** Shows the configuration in force. */
     @Command(name = "status", description = "Says what is in force here and at which revision")
     public static final class StatusCommand extends BaseCommand {
         @Override
@@ -58,7 +58,7 @@
         }
     }
 
-    /** Reads the metrics. */
+    /** Shows the metrics. */
     @Command(name = "metrics", description = "Reads the metrics of one entry")
     public static final class MetricsCommand extends BaseCommand {
         @Override
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Reads the trace of a request. */
+    /** Shows the trace of a request. */
     @Command(name = "trace", description = "Reads the hops of a request, by the request's id")
     public static final class TraceCommand extends BaseCommand {
         @Arguments(description = "The request's id", title = "REQUEST-ID")
--- a/core/src/main/java/org/lupinpaddle/core/command/CommandParser.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/CommandParser.java
@@ -23,12 +23,12 @@
 import java.util.function.Supplier;
 
 /**
- * Reads the words of one command. The library for command lines does the parsing, so the language is the
- * same in the tool and on the listener.
+ * Parses the words of one operator command. The same command-line parser serves the tool and the listener, so
+ * both accept the same language.
  */
 public final class CommandParser {
 
-    /** The name under which the tool is called; usage texts begin with it. */
+    /** The name of the command-line tool; usage texts begin with it. */
     public static final String TOOL = "lupinctl";
 
     @SuppressWarnings("unchecked")
@@ -63,7 +63,7 @@
                 .build();
     }
 
-    /** Returns the command that the words say, or one line that says what is wrong with them. */
+    /** Returns the parsed command, or a one-line error message. */
     public static Either<String, OperatorCommand> parse(List<String> words) {
         if (words.isEmpty()) {
             return Either.left("no command; try: " + TOOL + " help");
@@ -75,12 +75,12 @@
         }
     }
 
-    /** Returns the model of the language, for help texts. */
+    /** Returns the command-line model, for help texts. */
     public static Cli<?> cli() {
         return CLI;
     }
 
-    /** Returns the words of a line; quotes keep spaces together, as in a shell. */
+    /** Splits a line into words; quotes preserve spaces, as in a shell. */
     public static List<String> split(String line) {
         List<String> words = new ArrayList<>();
         StringBuilder word = new StringBuilder();
--- a/core/src/main/java/org/lupinpaddle/core/command/InstanceCommands.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/InstanceCommands.java
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Takes an instance in. */
+    /** Adds an instance to the fleet. */
     @Command(name = "add", description = "Takes an instance into the fleet")
     public static final class AddCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
@@ -90,7 +90,7 @@
         }
     }
 
-    /** Takes an instance out. */
+    /** Removes an instance from the fleet. */
     @Command(name = "retire", description = "Takes an instance of a spare pool out of the fleet")
     public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Explains an instance. */
+    /** Explains the state of an instance. */
     @Command(name = "explain", description = "Says why an instance is where it is and what holds it")
     public static final class ExplainCommand extends BaseCommand {
         @Arguments(description = "The instance's id", title = "ID")
--- a/core/src/main/java/org/lupinpaddle/core/command/JobCommands.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/JobCommands.java
@@ -20,7 +20,7 @@
 import com.github.rvesse.airline.annotations.restrictions.Required;
 import java.util.List;
 
-/** The commands of the group {@code job}: questions about jobs, their owners and workers. */
+/** The commands of the group {@code job}: queries about jobs, their owners and workers. */
 final class JobCommands {
 
     private JobCommands() {}
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Explains a job. */
+    /** Explains the state of a job. */
     @Command(name = "explain", description = "Says how far a job is, where its tasks run, and why it waits")
     public static final class ExplainCommand extends BaseCommand {
         @Arguments(description = "The job's id", title = "ID")
@@ -75,7 +75,7 @@
         }
     }
 
-    /** Lists what can not be read. */
+    /** Lists the unreadable store entries. */
     @Command(name = "unreadable", description = "Lists the store's entries that can not be read, and what is wrong")
     public static final class UnreadableCommand extends BaseCommand {
         @Override
@@ -84,7 +84,7 @@
         }
     }
 
-    /** Lists the waves of upkeep. */
+    /** Lists the platform's upkeep waves. */
     @Command(name = "upkeep", description = "Lists the platform's waves of upkeep and how far they are")
     public static final class UpkeepCommand extends BaseCommand {
         @Override
--- a/core/src/main/java/org/lupinpaddle/core/command/OperatorCommand.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/OperatorCommand.java
@@ -21,70 +21,70 @@
 import org.lupinpaddle.core.wave.WaveScope;
 import org.lupinpaddle.core.wave.WaveState;
 
-/** What an operator can say, as typed values. */
+/** The operator commands as typed values. */
 public sealed interface OperatorCommand {
 
-    /** A question: it changes nothing. */
+    /** A read-only query. */
     sealed interface Question extends OperatorCommand {}
 
-    /** A change: it ends accepted, refused or unknown. */
+    /** A change, whose outcome is accepted, refused or unknown. */
     sealed interface Change extends OperatorCommand {}
 
-    /** What is in force on this entry and at which revision. */
+    /** Shows the configuration in force on this entry and its revision. */
     record Status() implements Question {}
 
-    /** The entries as this one sees them. */
+    /** Lists the entries as seen by this one. */
     record Entries() implements Question {}
 
-    /** The metrics of this entry. */
+    /** Shows the metrics of this entry. */
     record Metrics() implements Question {}
 
-    /** The spans of a request. */
+    /** Shows the trace spans of a request. */
     record Trace(String requestId) implements Question {}
 
-    /** The services with their budgets and ledgers. */
+    /** Lists the services with their budgets, members and permits. */
     record ServiceList() implements Question {}
 
-    /** Makes a service. */
+    /** Creates a service. */
     record ServiceCreate(String name, int budget, Reserve reserve) implements Change {}
 
     /** Changes a service's budget or reserve. */
     record ServiceChange(
             String name, @Nullable Integer budget, @Nullable Reserve reserve) implements Change {}
 
-    /** Ends a service. */
+    /** Retires a service. */
     record ServiceRetire(String name) implements Change {}
 
-    /** The pools with their sizes. */
+    /** Lists the pools with their sizes. */
     record PoolList() implements Question {}
 
-    /** Makes a pool; without a service it is a pool of spare instances. */
+    /** Creates a pool; without a service it is a pool of spare instances. */
     record PoolCreate(String name, @Nullable String service, String site) implements Change {}
 
-    /** Ends a pool that has no instances. */
+    /** Retires a pool that has no instances. */
     record PoolRetire(String name) implements Change {}
 
-    /** The instances, of one pool or of all. */
+    /** Lists the instances of one pool or of all. */
     record InstanceList(@Nullable String pool) implements Question {}
 
-    /** Why an instance is where it is, and what holds it. */
+    /** Explains the pool and state of an instance, and which wave holds it. */
     record InstanceExplain(String id) implements Question {}
 
-    /** Takes an instance into the fleet. */
+    /** Adds an instance to the fleet. */
     record InstanceAdd(String id, String pool, String hall, String rack, String address, int slots, int memoryMb)
             implements Change {}
 
-    /** Takes an instance that serves nobody out of the fleet. */
+    /** Removes an instance of a spare pool from the fleet. */
     record InstanceRetire(String id) implements Change {}
 
     /**
-     * What a wave is to do.
+     * The definition of a new wave.
      *
      * @param name the wave's name
      * @param scope the instances it covers
-     * @param toPool for a migration, the pool its instances go to
-     * @param spares for a migration between sites, the pool of spare instances that come in first
-     * @param order the order of work
+     * @param toPool for a migration, the destination pool
+     * @param spares for a migration between sites, the pool of spare instances that join first
+     * @param order the order in which instances are processed
      */
     record WaveDraft(
             String name,
@@ -93,22 +93,22 @@
             @Nullable String spares,
             WaveOrder order) {}
 
-    /** What a wave would do, without doing it. */
+    /** Shows what a wave would do without starting it. */
     record WavePlan(WaveDraft draft) implements Question {}
 
     /** Starts a wave. */
     record WaveStart(WaveDraft draft) implements Change {}
 
-    /** Changes whether a wave goes on. */
+    /** Pauses, resumes or cancels a wave. */
     record WaveSteer(String name, Steering steering) implements Change {}
 
-    /** How a wave can be steered. */
+    /** The control actions on a wave. */
     enum Steering {
-        /** Take out no more, and put back what has not reached its reboot. */
+        /** Drains no more instances and undrains those that are not yet rebooting. */
         PAUSE(WaveState.PAUSED, "paused"),
-        /** Go on. */
+        /** Continues a paused or halted wave. */
         RESUME(WaveState.RUNNING, "resumed"),
-        /** End it for good. */
+        /** Ends the wave permanently. */
         CANCEL(WaveState.CANCELLED, "cancelled");
 
         private final WaveState state;
@@ -119,38 +119,38 @@
             this.past = past;
         }
 
-        /** Returns the state that a wave is in afterwards. */
+        /** Returns the resulting state of the wave. */
         public WaveState state() {
             return state;
         }
 
-        /** Returns what was done to the wave, for messages. */
+        /** Returns the past participle of the action, for messages. */
         public String past() {
             return past;
         }
     }
 
-    /** The waves. */
+    /** Lists the waves. */
     record WaveList() implements Question {}
 
-    /** One wave with its progress. */
+    /** Shows the progress of a wave. */
     record WaveShow(String name) implements Question {}
 
-    /** The jobs that the store knows. */
+    /** Lists the stored jobs. */
     record JobList() implements Question {}
 
-    /** How far a job is, and why it waits. */
+    /** Shows the progress of a job and why it waits. */
     record JobExplain(String id) implements Question {}
 
-    /** The entries and the duties that each owns. */
+    /** Lists the entries and the duties that each owns. */
     record JobOwners() implements Question {}
 
-    /** The workers by service. */
+    /** Lists the workers by service. */
     record JobWorkers() implements Question {}
 
-    /** The platform's waves of upkeep. */
+    /** Lists the platform's upkeep waves. */
     record JobUpkeep() implements Question {}
 
-    /** The entries of the platform's store that can not be read. */
+    /** Lists the entries of the platform's store that can not be read. */
     record JobUnreadable() implements Question {}
 }
--- a/core/src/main/java/org/lupinpaddle/core/command/PoolCommands.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/PoolCommands.java
@@ -40,7 +40,7 @@
         }
     }
 
-    /** Makes a pool. */
+    /** Creates a pool. */
     @Command(name = "create", description = "Makes a pool; without --service, one of spare instances")
     public static final class CreateCommand extends BaseCommand {
         @Arguments(description = "The pool's name", title = "NAME")
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Ends a pool. */
+    /** Retires a pool. */
     @Command(name = "retire", description = "Ends a pool that has no instances")
     public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The pool's name", title = "NAME")
--- a/core/src/main/java/org/lupinpaddle/core/command/ServiceCommands.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/ServiceCommands.java
@@ -54,7 +54,7 @@
         }
     }
 
-    /** Makes a service. */
+    /** Creates a service. */
     @Command(name = "create", description = "Makes a service with an availability budget")
     public static final class CreateCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
@@ -76,7 +76,7 @@
         }
     }
 
-    /** Changes a service. */
+    /** Changes a service's budget or reserve. */
     @Command(name = "change", description = "Changes a service's budget or reserve")
     public static final class ChangeCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
@@ -102,7 +102,7 @@
         }
     }
 
-    /** Ends a service. */
+    /** Retires a service. */
     @Command(name = "retire", description = "Ends a service that no pool runs")
     public static final class RetireCommand extends BaseCommand {
         @Arguments(description = "The service's name", title = "NAME")
--- a/core/src/main/java/org/lupinpaddle/core/command/WaveCommands.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/WaveCommands.java
@@ -44,7 +44,7 @@
                 ShowCommand.class);
     }
 
-    /** The words that describe a wave. */
+    /** Options that define a new wave. */
     abstract static class WaveDraftCommand extends BaseCommand {
         @Arguments(description = "The wave's name", title = "NAME")
         @Required
@@ -86,7 +86,7 @@
         }
     }
 
-    /** Asks what a wave would do. */
+    /** Shows what a wave would do. */
     @Command(name = "plan", description = "Says what a wave would do, in which order, and what holds it back")
     public static final class PlanCommand extends WaveDraftCommand {
         @Override
@@ -104,7 +104,7 @@
         }
     }
 
-    /** The words that name a wave. */
+    /** A command that takes the name of an existing wave. */
     abstract static class NamedWaveCommand extends BaseCommand {
         @Arguments(description = "The wave's name", title = "NAME")
         @Required
--- a/core/src/main/java/org/lupinpaddle/core/command/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' language, the same in the tool and on the listener. */
+/** The operators' command language, shared by the tool and the listener. */
 @NullMarked
 package org.lupinpaddle.core.command;
 
--- a/core/src/test/java/org/lupinpaddle/core/command/OperatorLanguageSteps.java
+++ b/core/src/test/java/org/lupinpaddle/core/command/OperatorLanguageSteps.java
@@ -23,29 +23,29 @@
 import io.cucumber.java.en.When;
 import io.vavr.control.Either;
 
-/** The steps of operator_language.feature. */
+/** Step definitions of operator_language.feature. */
 public final class OperatorLanguageSteps {
 
-    private Either<String, OperatorCommand> result = Either.left("nothing said");
+    private Either<String, OperatorCommand> result = Either.left("no command entered");
 
-    /** Parses the words. */
-    @When("an operator says {string}")
-    public void anOperatorSays(String words) {
+    /** Parses the command line. */
+    @When("an operator enters {string}")
+    public void anOperatorEnters(String words) {
         result = CommandParser.parse(CommandParser.split(words));
     }
 
-    /** Checks the command's type. */
+    /** Checks the type of the parsed command. */
     @Then("it is the command {word}")
     public void itIsTheCommand(String name) {
         assertTrue(result.isRight(), () -> result.getLeft());
         assertEquals(name, result.get().getClass().getSimpleName());
     }
 
-    /** Checks the refusal. */
+    /** Checks that the command is rejected with one line that contains the reason. */
     @Then("it is refused with {string}")
     public void itIsRefusedWith(String reason) {
-        assertTrue(result.isLeft(), "it was understood");
+        assertTrue(result.isLeft(), "the command was accepted");
         assertTrue(result.getLeft().contains(reason), result.getLeft());
-        assertFalse(result.getLeft().contains("\n"), "one line");
+        assertFalse(result.getLeft().contains("\n"), "the message must be one line");
     }
 }
--- a/core/src/test/resources/org/lupinpaddle/core/command/operator_language.feature
+++ b/core/src/test/resources/org/lupinpaddle/core/command/operator_language.feature
@@ -1,8 +1,8 @@
-Feature: The operators' language
-  Operators ask and command in words; wrong words are told in one line, and nothing happens.
+Feature: The operators' command language
+  Valid input is parsed into a typed command; invalid input is rejected with a one-line message.
 
-  Scenario Outline: Words that say something
-    When an operator says "<words>"
+  Scenario Outline: Valid commands are parsed
+    When an operator enters "<words>"
     Then it is the command <command>
 
     Examples:
@@ -17,8 +17,8 @@
       | wave pause w                                                                                           | WaveSteer      |
       | instance explain w1                                                                                    | InstanceExplain |
 
-  Scenario Outline: Words that do not
-    When an operator says "<words>"
+  Scenario Outline: Invalid commands are rejected
+    When an operator enters "<words>"
     Then it is refused with "<reason>"
 
     Examples:
@@ -34,6 +34,6 @@
       | wave start w --pool p --spares q                   | --spares needs      |
       | instance add w1 --pool p --hall h --rack r --address host:80 --slots 8 --memory 1 | is no IP:PORT |
 
-  Scenario: Quotes keep words together
-    When an operator says "trace 'one request'"
+  Scenario: Quotes preserve spaces within a word
+    When an operator enters "trace 'one request'"
     Then it is the command Trace
