--- a/core/src/main/java/org/lupinpaddle/core/command/CommandWords.java
+++ b/core/src/main/java/org/lupinpaddle/core/command/BaseCommand.java
@@ -22,16 +22,16 @@
 import java.util.function.Supplier;
 import java.util.regex.Pattern;
 
-/** The words of one command, which give its typed form. The commands that stand in no group are here. */
-public abstract class CommandWords implements Supplier<OperatorCommand> {
+/** Parsed options and arguments of a command, which produce its typed form. Declares the ungrouped commands. */
+public abstract class BaseCommand implements Supplier<OperatorCommand> {
 
     private static final Pattern NAME = Pattern.compile("[a-z0-9][a-z0-9-]{0,62}");
 
-    static List<Class<? extends CommandWords>> all() {
-        return List.of(StatusWords.class, EntriesWords.class, MetricsWords.class, TraceWords.class);
+    static List<Class<? extends BaseCommand>> all() {
+        return List.of(StatusCommand.class, EntriesCommand.class, MetricsCommand.class, TraceCommand.class);
     }
 
-    /** Returns a name if it is one, or fails with what a name is. */
+    /** Returns the given name if it is valid, or fails with a message that states the valid form. */
     static String name(String s) {
         if (!NAME.matcher(s).matches()) {
             throw new IllegalArgumentException(
@@ -40,9 +40,9 @@
         return s;
     }
 
-    /** Says what is in force. */
+    /** Shows the configuration in force. */
     @Command(name = "status", description = "Says what is in force here and at which revision")
-    public static final class StatusWords extends CommandWords {
+    public static final class StatusCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Status();
@@ -51,25 +51,25 @@
 
     /** Lists the entries. */
     @Command(name = "entries", description = "Lists the entries as this one sees them")
-    public static final class EntriesWords extends CommandWords {
+    public static final class EntriesCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Entries();
         }
     }
 
-    /** Reads the metrics. */
+    /** Shows the metrics. */
     @Command(name = "metrics", description = "Reads the metrics of one entry")
-    public static final class MetricsWords extends CommandWords {
+    public static final class MetricsCommand extends BaseCommand {
         @Override
         public OperatorCommand get() {
             return new OperatorCommand.Metrics();
         }
     }
 
-    /** Reads the trace of a request. */
+    /** Shows the trace of a request. */
     @Command(name = "trace", description = "Reads the hops of a request, by the request's id")
-    public static final class TraceWords extends CommandWords {
+    public static final class TraceCommand extends BaseCommand {
         @Arguments(description = "The request's id", title = "REQUEST-ID")
         @Required
         private String requestId = "";
--- a/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/wave/FleetExperiment.java
@@ -112,7 +112,7 @@
             FleetView v = store.view();
             InstanceRecord i = InstanceRecord.builder(id)
                     .pool(pool)
-                    .place(hall, rack)
+                    .location(hall, rack)
                     .address(id)
                     .build();
             store.put(StoreKeys.shardOf(id), v.shardOf(id).with(i, "m"));
@@ -236,7 +236,7 @@
         private int reserveHeld() {
             FleetView v = store.view();
             return v.services().values().stream()
-                    .mapToInt(s -> MemberReconciler.floor(v, s) - s.budget())
+                    .mapToInt(s -> MemberReconciler.minAvailable(v, s) - s.budget())
                     .sum();
         }
     }
