--- a/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
@@ -112,11 +112,11 @@
                 .settings(settings)
                 .loop(loop)
                 .config(config)
-                .grants(slots, claims)
+                .slotsAndClaims(slots, claims)
                 .workers(workerClient)
-                .observed(traces, metrics)
+                .telemetry(traces, metrics)
                 .serving(this::isServing)
-                .cancelElsewhere(peers::cancelElsewhere)
+                .forwardCancel(peers::cancelElsewhere)
                 .build(Addresses.parse(settings.listen().caller()));
         operators = operatorListener();
         addGauges(claims);
@@ -163,9 +163,9 @@
     /** Starts all listeners and everything that runs by itself. */
     void start() throws Exception {
         platformClient.start();
-        CallerServer.prepare(platformClient);
+        CallerServer.configureClient(platformClient);
         workerClient.start();
-        CallerServer.prepare(workerClient);
+        CallerServer.configureClient(workerClient);
         callers.start();
         operators.start();
         Settings.Entry e = settings.entry();
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
@@ -54,24 +54,24 @@
     private final RequestServices services;
     private final Settings.Limits limits;
     private final BooleanSupplier serving;
-    private final Consumer<String> cancelElsewhere;
-    private final Map<String, RequestRun> open = new HashMap<>();
+    private final Consumer<String> forwardCancel;
+    private final Map<String, RequestExecution> openRequests = new HashMap<>();
 
     /**
      * Makes the handler.
      *
      * @param serving whether new requests are taken
-     * @param cancelElsewhere passes the id of a request to be cancelled on to the other entries
+     * @param forwardCancel passes the id of a request to be cancelled on to the other entries
      */
     CallerHandler(
             RequestServices services,
             Settings.Limits limits,
             BooleanSupplier serving,
-            Consumer<String> cancelElsewhere) {
+            Consumer<String> forwardCancel) {
         this.services = services;
         this.limits = limits;
         this.serving = serving;
-        this.cancelElsewhere = cancelElsewhere;
+        this.forwardCancel = forwardCancel;
     }
 
     @Override
@@ -81,7 +81,7 @@
         CallerReply reply = new CallerReply(response, callback);
         boolean post = HttpMethod.POST.is(request.getMethod());
         if (request.getHttpURI().getCanonicalPath().equals(HEALTH)) {
-            services.loop().execute(() -> health(reply));
+            services.loop().execute(() -> answerHealth(reply));
         } else if (post
                 && path.size() == 4
                 && path.get(0).equals("v1")
@@ -99,7 +99,7 @@
         return true;
     }
 
-    private void health(CallerReply reply) {
+    private void answerHealth(CallerReply reply) {
         boolean good = serving.getAsBoolean();
         reply.answer(
                 good ? OK : UNAVAILABLE,
@@ -125,65 +125,65 @@
 
     private void accept(String service, HttpFields headers, byte[] body, CallerReply reply) {
         long now = services.loop().clock().millis();
-        Either<String, CallerRequest> read = CallerHeaders.read(service, headers, now);
-        if (read.isLeft()) {
-            refuse(reply, BAD_REQUEST, "bad-request", read.getLeft());
+        Either<String, CallerRequest> parsed = CallerHeaders.read(service, headers, now);
+        if (parsed.isLeft()) {
+            refuse(reply, BAD_REQUEST, "bad-request", parsed.getLeft());
             return;
         }
-        CallerRequest r = read.get();
+        CallerRequest callerRequest = parsed.get();
         ServiceRecord known = services.config().view().services().get(service);
         if (!serving.getAsBoolean()) {
             giveUp(reply, GiveUpReason.NOT_SERVING);
         } else if (known == null || known.retired()) {
             giveUp(reply, GiveUpReason.UNKNOWN_SERVICE);
-        } else if (open.size() >= limits.open()) {
+        } else if (openRequests.size() >= limits.open()) {
             giveUp(reply, GiveUpReason.SHED);
-        } else if (open.containsKey(r.id())) {
+        } else if (openRequests.containsKey(callerRequest.id())) {
             refuse(reply, CONFLICT, "request-id-in-use", "a request with this id is in progress here");
         } else {
-            RequestRun run = new RequestRun(services, r, headers, body, reply, () -> open.remove(r.id()));
-            open.put(r.id(), run);
-            run.start();
+            RequestExecution execution = new RequestExecution(services, callerRequest, headers, body, reply, () -> openRequests.remove(callerRequest.id()));
+            openRequests.put(callerRequest.id(), execution);
+            execution.start();
         }
     }
 
     private void cancelFromCaller(String id, CallerReply reply) {
         if (!cancel(id)) {
-            cancelElsewhere.accept(id);
+            forwardCancel.accept(id);
         }
         reply.answer(ACCEPTED, HttpFields.EMPTY, new byte[0]);
     }
 
     /** Cancels a request if this entry holds it; returns whether it does. Call on the loop. */
     boolean cancel(String id) {
-        RequestRun run = open.get(id);
-        if (run != null) {
-            run.cancel();
+        RequestExecution execution = openRequests.get(id);
+        if (execution != null) {
+            execution.cancel();
         }
-        return run != null;
+        return execution != null;
     }
 
     /** Returns how many requests this entry holds. Call on the loop. */
     int openCount() {
-        return open.size();
+        return openRequests.size();
     }
 
     private void giveUp(CallerReply reply, GiveUpReason reason) {
-        HttpFields.Mutable h = verdict(reason.wireName());
+        HttpFields.Mutable headers = notRunHeaders(reason.wireName());
         if (reason.comeBackMillis() > 0) {
-            h.put("Retry-After", Long.toString((reason.comeBackMillis() + 999) / 1_000));
-            h.put(CallerHeaders.COME_BACK, Long.toString(reason.comeBackMillis()));
+            headers.put("Retry-After", Long.toString((reason.comeBackMillis() + 999) / 1_000));
+            headers.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(reason.comeBackMillis()));
         }
         services.metrics().counter("requests." + reason.wireName()).inc();
-        reply.answer(reason.status(), h, new byte[0]);
+        reply.answer(reason.status(), headers, new byte[0]);
     }
 
     private void refuse(CallerReply reply, int status, String reason, String text) {
         services.metrics().counter("requests.refused").inc();
-        reply.answer(status, verdict(reason), (text + "\n").getBytes(StandardCharsets.UTF_8));
+        reply.answer(status, notRunHeaders(reason), (text + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
-    private static HttpFields.Mutable verdict(String reason) {
+    private static HttpFields.Mutable notRunHeaders(String reason) {
         return HttpFields.build()
                 .put(CallerHeaders.VERDICT, Verdict.NOT_RUN.wireName())
                 .put(CallerHeaders.REASON, reason);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHeaders.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHeaders.java
@@ -35,11 +35,11 @@
     static final String REQUEST_ID = "Request-Id";
     static final String VERDICT = "Lupin-Verdict";
     static final String REASON = "Lupin-Reason";
-    static final String COME_BACK = "Lupin-Retry-After-Ms";
+    static final String RETRY_AFTER_MILLIS = "Lupin-Retry-After-Ms";
     static final String PREFIX = "lupin-";
 
-    private static final long LONGEST_DEADLINE_MILLIS = 86_400_000;
-    private static final Pattern NAME = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
+    private static final long MAX_DEADLINE_MILLIS = 86_400_000;
+    private static final Pattern ID_PATTERN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
     private CallerHeaders() {}
 
@@ -50,8 +50,8 @@
             return Either.left(CLASS + " must be urgent, normal or may-wait");
         }
         long deadline = number(headers, DEADLINE, -1);
-        if (deadline < 1 || deadline > LONGEST_DEADLINE_MILLIS) {
-            return Either.left(DEADLINE + " must be milliseconds from now, 1 to " + LONGEST_DEADLINE_MILLIS);
+        if (deadline < 1 || deadline > MAX_DEADLINE_MILLIS) {
+            return Either.left(DEADLINE + " must be milliseconds from now, 1 to " + MAX_DEADLINE_MILLIS);
         }
         String repeatable = text(headers, REPEATABLE);
         if (!repeatable.equals("true") && !repeatable.equals("false")) {
@@ -59,7 +59,7 @@
         }
         String jobId = headers.get(JOB_ID);
         String requestId = headers.get(REQUEST_ID);
-        if (isNoName(jobId) || isNoName(requestId)) {
+        if (isInvalidId(jobId) || isInvalidId(requestId)) {
             return Either.left(JOB_ID + " and " + REQUEST_ID + " must be 1 to 128 of A-Z a-z 0-9 . _ : -");
         }
         long memory = number(headers, MEMORY, 0);
@@ -76,20 +76,20 @@
                 .build());
     }
 
-    private static boolean isNoName(@Nullable String s) {
-        return s != null && !NAME.matcher(s).matches();
+    private static boolean isInvalidId(@Nullable String s) {
+        return s != null && !ID_PATTERN.matcher(s).matches();
     }
 
     private static String text(HttpFields headers, String name) {
-        String v = headers.get(name);
-        return v == null ? "" : v;
+        String value = headers.get(name);
+        return value == null ? "" : value;
     }
 
-    private static long number(HttpFields headers, String name, long otherwise) {
-        String v = headers.get(name);
-        if (v == null) {
-            return otherwise;
+    private static long number(HttpFields headers, String name, long defaultValue) {
+        String value = headers.get(name);
+        if (value == null) {
+            return defaultValue;
         }
-        return v.matches("[0-9]{1,12}") ? Long.parseLong(v) : -1;
+        return value.matches("[0-9]{1,12}") ? Long.parseLong(value) : -1;
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerServer.java
@@ -43,8 +43,8 @@
     }
 
     /** Takes from a started Jetty client every step that it would take of its own. */
-    public static void prepare(HttpClient client) {
-        WorkerClient.prepare(client);
+    public static void configureClient(HttpClient client) {
+        WorkerClient.configureClient(client);
     }
 
     /** Starts listening. */
@@ -89,7 +89,7 @@
         private Traces traces;
         private MetricRegistry metrics;
         private BooleanSupplier serving;
-        private Consumer<String> cancelElsewhere;
+        private Consumer<String> forwardCancel;
 
         private Builder() {}
 
@@ -112,7 +112,7 @@
         }
 
         /** Sets who grants slots and who keeps claims. */
-        public Builder grants(SlotHost s, ClaimKeeper c) {
+        public Builder slotsAndClaims(SlotHost s, ClaimKeeper c) {
             this.slots = s;
             this.claims = c;
             return this;
@@ -125,7 +125,7 @@
         }
 
         /** Sets where spans and counts go. */
-        public Builder observed(Traces t, MetricRegistry m) {
+        public Builder telemetry(Traces t, MetricRegistry m) {
             this.traces = t;
             this.metrics = m;
             return this;
@@ -138,8 +138,8 @@
         }
 
         /** Sets who passes a cancellation on to the other entries. */
-        public Builder cancelElsewhere(Consumer<String> c) {
-            this.cancelElsewhere = c;
+        public Builder forwardCancel(Consumer<String> c) {
+            this.forwardCancel = c;
             return this;
         }
 
@@ -156,7 +156,7 @@
                     traces,
                     metrics,
                     settings.timing().holdMillis());
-            CallerHandler handler = new CallerHandler(services, limits, serving, cancelElsewhere);
+            CallerHandler handler = new CallerHandler(services, limits, serving, forwardCancel);
             return new CallerServer(
                     handler,
                     new HttpListener("callers", address, THREADS, limits.headerBytes(), limits.connections(), handler));
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestExecution.java
@@ -46,9 +46,9 @@
  * Carries one request: takes what happens to its machine in {@code core} and does what that says. All
  * methods are called on the event loop.
  */
-final class RequestRun {
+final class RequestExecution {
 
-    private static final Set<String> NOT_PASSED_ON = Set.of(
+    private static final Set<String> NOT_FORWARDED_HEADERS = Set.of(
             "connection",
             "content-length",
             "expect",
@@ -67,49 +67,49 @@
     private final HttpFields headers;
     private final byte[] body;
     private final CallerReply reply;
-    private final Runnable onOver;
+    private final Runnable onFinished;
     private final RequestMachine machine;
     private final Span span;
     private final Deque<RequestEvent> events = new ArrayDeque<>();
     private final String claimId = UUID.randomUUID().toString();
     private @Nullable Span waitSpan;
     private EventLoop.@Nullable Timer deadline;
-    private long openAsk;
+    private long pendingSlotRequest;
     private WorkerClient.@Nullable Attempt attempt;
-    private @Nullable WorkerAnswer answer;
+    private @Nullable WorkerResponse answer;
     private String workerAddress = "";
     private String taskId = "";
     private boolean running;
 
-    RequestRun(
+    RequestExecution(
             RequestServices services,
             CallerRequest request,
             HttpFields headers,
             byte[] body,
             CallerReply reply,
-            Runnable onOver) {
+            Runnable onFinished) {
         this.services = services;
         this.request = request;
         this.headers = headers;
         this.body = body;
         this.reply = reply;
-        this.onOver = onOver;
+        this.onFinished = onFinished;
         this.machine = new RequestMachine(request, services.retries());
         this.span = services.traces().request(request.id(), request.service(), headers);
     }
 
     void start() {
         long left = request.deadline() - services.loop().clock().millis();
-        deadline = services.loop().after(left, () -> on(new RequestEvent.DeadlinePassed()));
-        on(new RequestEvent.Arrived());
+        deadline = services.loop().after(left, () -> handle(new RequestEvent.DeadlinePassed()));
+        handle(new RequestEvent.Arrived());
     }
 
     void cancel() {
-        on(new RequestEvent.CallerGone());
+        handle(new RequestEvent.CallerGone());
     }
 
     // An action can cause the next event at once: events are taken in turn, not nested.
-    private void on(RequestEvent event) {
+    private void handle(RequestEvent event) {
         events.add(event);
         if (running) {
             return;
@@ -118,32 +118,32 @@
         try {
             for (RequestEvent e = events.poll(); e != null; e = events.poll()) {
                 for (RequestAction a : machine.on(e, services.loop().clock().millis())) {
-                    carryOut(a);
+                    perform(a);
                 }
             }
         } finally {
             running = false;
         }
         if (machine.isOver()) {
-            onOver.run();
+            onFinished.run();
         }
     }
 
-    private void carryOut(RequestAction action) {
+    private void perform(RequestAction action) {
         if (action instanceof RequestAction.TakeClaim) {
             takeClaim();
         } else if (action instanceof RequestAction.SettleClaim) {
             services.claims().release(request.service(), jobId(), claimId);
         } else if (action instanceof RequestAction.AskSlot a) {
-            askSlot(a);
+            requestSlot(a);
         } else if (action instanceof RequestAction.CancelAsk) {
-            services.slots().cancel(openAsk);
+            services.slots().cancel(pendingSlotRequest);
         } else if (action instanceof RequestAction.Send a) {
-            services.config().whenFresh(() -> send(a));
+            services.config().whenFresh(() -> sendAttempt(a));
         } else if (action instanceof RequestAction.ReleaseSlot a) {
             services.slots().release(request.service(), new Grant(a.grant(), a.worker()), a.outcome());
         } else if (action instanceof RequestAction.PassAnswer) {
-            passAnswer();
+            forwardAnswer();
         } else if (action instanceof RequestAction.GiveUp a) {
             giveUp(a);
         }
@@ -158,11 +158,11 @@
         services.claims().acquire(request.service(), jobId(), claimId, result -> {
             hop.setAttribute("claim.result", result.name());
             hop.end();
-            on(new RequestEvent.ClaimAnswered(result));
+            handle(new RequestEvent.ClaimAnswered(result));
         });
     }
 
-    private void askSlot(RequestAction.AskSlot a) {
+    private void requestSlot(RequestAction.AskSlot a) {
         Span hop = services.traces().hop(span, request.id(), "slot", SpanKind.INTERNAL);
         waitSpan = hop;
         SlotClient.SlotRequest need = new SlotClient.SlotRequest(
@@ -172,9 +172,9 @@
                 request.deadline(),
                 a.avoid(),
                 request.memoryMb());
-        openAsk = services.slots().ask(need, r -> {
+        pendingSlotRequest = services.slots().ask(need, r -> {
             hop.end();
-            on(event(r));
+            handle(event(r));
         });
     }
 
@@ -186,15 +186,15 @@
         return new RequestEvent.SlotGranted(g.id(), g.worker());
     }
 
-    private void send(RequestAction.Send a) {
+    private void sendAttempt(RequestAction.Send a) {
         InstanceRecord worker = services.config().view().instances().get(a.worker());
         if (machine.isAnswered()) {
-            on(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.UNUSED));
+            handle(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.UNUSED));
             return;
         }
         if (worker == null || !worker.state().takesWork()) {
             // Granted before the owner of the slots knew that the worker is leaving.
-            on(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.REFUSED_LEAVING));
+            handle(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.REFUSED_LEAVING));
             return;
         }
         long waited = services.loop().clock().millis() - request.arrival();
@@ -204,31 +204,31 @@
         Span hop = services.traces().hop(span, request.id(), "attempt " + a.worker(), SpanKind.CLIENT);
         workerAddress = worker.address();
         taskId = request.id() + "." + a.attempt();
-        long longest = Math.max(0, request.deadline() - services.loop().clock().millis()) + services.holdMillis();
+        long timeoutMillis = Math.max(0, request.deadline() - services.loop().clock().millis()) + services.holdMillis();
         attempt = services.worker()
                 .send(
                         workerAddress,
                         "/work",
                         workerHeaders(hop),
                         body,
-                        longest,
-                        w -> services.loop().execute(() -> ended(a, hop, w)));
+                        timeoutMillis,
+                        w -> services.loop().execute(() -> onAttemptEnded(a, hop, w)));
     }
 
-    private void ended(RequestAction.Send a, Span hop, WorkerAnswer w) {
+    private void onAttemptEnded(RequestAction.Send a, Span hop, WorkerResponse w) {
         hop.setAttribute("outcome", w.outcome().name());
         hop.setStatus(w.outcome() == AttemptOutcome.ANSWERED ? StatusCode.OK : StatusCode.ERROR);
         hop.end();
         answer = w;
         attempt = null;
-        on(new RequestEvent.AttemptEnded(a.attempt(), w.outcome()));
+        handle(new RequestEvent.AttemptEnded(a.attempt(), w.outcome()));
     }
 
     private HttpFields workerHeaders(Span hop) {
         HttpFields.Mutable out = HttpFields.build();
         headers.forEach(f -> {
             String name = f.getLowerCaseName();
-            if (!NOT_PASSED_ON.contains(name) && !name.startsWith(CallerHeaders.PREFIX)) {
+            if (!NOT_FORWARDED_HEADERS.contains(name) && !name.startsWith(CallerHeaders.PREFIX)) {
                 out.add(f);
             }
         });
@@ -237,12 +237,12 @@
         return out.asImmutable();
     }
 
-    private void passAnswer() {
-        WorkerAnswer w = Objects.requireNonNull(answer, "an answer to pass on");
+    private void forwardAnswer() {
+        WorkerResponse w = Objects.requireNonNull(answer, "an answer to pass on");
         finish(Verdict.RAN, "answered", 0);
         HttpFields.Mutable out = HttpFields.build();
         w.headers().forEach(f -> {
-            if (!NOT_PASSED_ON.contains(f.getLowerCaseName())
+            if (!NOT_FORWARDED_HEADERS.contains(f.getLowerCaseName())
                     && !f.getLowerCaseName().startsWith(CallerHeaders.PREFIX)) {
                 out.add(f);
             }
@@ -261,7 +261,7 @@
         if (a.comeBackMillis() > 0) {
             long seconds = TimeUnit.MILLISECONDS.toSeconds(a.comeBackMillis() + 999);
             out.put(HttpHeader.RETRY_AFTER, Long.toString(seconds));
-            out.put(CallerHeaders.COME_BACK, Long.toString(a.comeBackMillis()));
+            out.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(a.comeBackMillis()));
         }
         reply.answer(a.reason().status(), out, new byte[0]);
         if (attempt != null) {
@@ -279,17 +279,17 @@
         if (w != null) {
             w.end();
         }
-        long took = services.loop().clock().millis() - request.arrival();
+        long elapsedMillis = services.loop().clock().millis() - request.arrival();
         span.setAttribute("verdict", verdict.wireName());
         span.setAttribute("reason", reason);
         span.end();
         services.metrics().counter("requests." + reason).inc();
         services.metrics()
                 .histogram("request.millis." + request.urgency().wireName())
-                .update(took);
+                .update(elapsedMillis);
         List<Object> fields = new ArrayList<>(List.of("request", request.id(), "service", request.service()));
         fields.addAll(List.of("class", request.urgency().wireName(), "verdict", verdict.wireName()));
-        fields.addAll(List.of("reason", reason, "attempts", machine.attempts(), "took_ms", took));
+        fields.addAll(List.of("reason", reason, "attempts", machine.attempts(), "took_ms", elapsedMillis));
         fields.addAll(List.of("come_back_ms", comeBackMillis));
         Log.info("request", fields.toArray());
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerClient.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerClient.java
@@ -41,21 +41,21 @@
     private static final int UNAVAILABLE = 503;
     private static final int SERVER_ERROR = 500;
     // Shorter than any worker's own, so that a pooled connection is not closed just as it is used.
-    private static final long POOLED_IDLE_MILLIS = 5_000;
-    private static final long STOP_MILLIS = 2_000;
+    private static final long POOLED_IDLE_TIMEOUT_MILLIS = 5_000;
+    private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
     private final HttpClient client;
-    private final int answerBytes;
+    private final int maxAnswerBytes;
 
-    /** Makes the client; the Jetty client is set up by {@link #prepare} and started by the caller. */
-    WorkerClient(HttpClient client, int answerBytes) {
+    /** Makes the client; the Jetty client is set up by {@link #configureClient} and started by the caller. */
+    WorkerClient(HttpClient client, int maxAnswerBytes) {
         this.client = client;
-        this.answerBytes = answerBytes;
+        this.maxAnswerBytes = maxAnswerBytes;
     }
 
     /** Takes from a Jetty client, after its start, every step that it would take of its own. */
-    static void prepare(HttpClient client) {
-        client.setIdleTimeout(POOLED_IDLE_MILLIS);
+    static void configureClient(HttpClient client) {
+        client.setIdleTimeout(POOLED_IDLE_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
         client.getProtocolHandlers().clear();
         client.getContentDecoderFactories().clear();
@@ -74,20 +74,20 @@
             String path,
             HttpFields headers,
             byte[] body,
-            long longestMillis,
-            Consumer<WorkerAnswer> onEnd) {
-        AtomicBoolean begun = new AtomicBoolean();
+            long timeoutMillis,
+            Consumer<WorkerResponse> onEnd) {
+        AtomicBoolean sendBegun = new AtomicBoolean();
         Request request = client.newRequest("http://" + address + path)
                 .method(HttpMethod.POST)
                 .headers(h -> h.add(headers))
                 .body(new BytesRequestContent(body))
-                .timeout(longestMillis, TimeUnit.MILLISECONDS)
-                .idleTimeout(longestMillis, TimeUnit.MILLISECONDS)
-                .onRequestBegin(r -> begun.set(true));
-        request.send(new BufferingResponseListener(answerBytes) {
+                .timeout(timeoutMillis, TimeUnit.MILLISECONDS)
+                .idleTimeout(timeoutMillis, TimeUnit.MILLISECONDS)
+                .onRequestBegin(r -> sendBegun.set(true));
+        request.send(new BufferingResponseListener(maxAnswerBytes) {
             @Override
             public void onComplete(Result result) {
-                onEnd.accept(answer(result, begun.get(), getContent()));
+                onEnd.accept(toResponse(result, sendBegun.get(), getContent()));
             }
         });
         return () -> {
@@ -95,26 +95,26 @@
         };
     }
 
-    private static WorkerAnswer answer(Result result, boolean begun, byte[] content) {
+    private static WorkerResponse toResponse(Result result, boolean sendBegun, byte[] content) {
         if (result.isFailed()) {
-            return WorkerAnswer.without(begun ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_SENT);
+            return WorkerResponse.withoutBody(sendBegun ? AttemptOutcome.BROKEN : AttemptOutcome.NOT_SENT);
         }
         var response = result.getResponse();
         String refused = response.getHeaders().get(REFUSED);
         if (response.getStatus() == UNAVAILABLE && refused != null) {
-            return WorkerAnswer.without(
+            return WorkerResponse.withoutBody(
                     refused.equals(LEAVING) ? AttemptOutcome.REFUSED_LEAVING : AttemptOutcome.REFUSED_FULL);
         }
         AttemptOutcome outcome = response.getStatus() >= SERVER_ERROR ? AttemptOutcome.FAILED : AttemptOutcome.ANSWERED;
         byte[] body = content == null ? new byte[0] : content;
-        return new WorkerAnswer(outcome, response.getStatus(), response.getHeaders(), body);
+        return new WorkerResponse(outcome, response.getStatus(), response.getHeaders(), body);
     }
 
     /** Asks a worker to stop a task that nobody waits for; what it says does not matter. */
     void stopTask(String address, String taskId) {
         client.newRequest("http://" + address + "/tasks/" + taskId)
                 .method(HttpMethod.DELETE)
-                .timeout(STOP_MILLIS, TimeUnit.MILLISECONDS)
+                .timeout(STOP_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                 .send(r -> {});
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerAnswer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerResponse.java
@@ -26,11 +26,11 @@
  * @param headers the worker's headers
  * @param body the whole of the worker's answer, or nothing
  */
-record WorkerAnswer(AttemptOutcome outcome, int status, HttpFields headers, byte[] body) {
+record WorkerResponse(AttemptOutcome outcome, int status, HttpFields headers, byte[] body) {
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
-    static WorkerAnswer without(AttemptOutcome outcome) {
-        return new WorkerAnswer(outcome, 0, HttpFields.EMPTY, NOTHING);
+    static WorkerResponse withoutBody(AttemptOutcome outcome) {
+        return new WorkerResponse(outcome, 0, HttpFields.EMPTY, EMPTY_BODY);
     }
 }
