--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
@@ -37,8 +37,9 @@
 import org.lupinpaddle.daemon.settings.Settings;
 
 /**
- * The callers' API: {@code POST /v1/services/NAME/requests} runs a request, {@code DELETE
- * /v1/requests/ID} cancels one at whatever entry holds it, {@code GET /health} is for the balancer.
+ * Serves the HTTP API for callers: {@code POST /v1/services/NAME/requests} runs a request, {@code DELETE
+ * /v1/requests/ID} cancels a request on whichever entry holds it, {@code GET /health} is the health check
+ * of the load balancer.
  */
 final class CallerHandler extends Handler.Abstract.NonBlocking {
 
@@ -58,16 +59,13 @@
     private final Map<String, RequestExecution> openRequests = new HashMap<>();
 
     /**
-     * Makes the handler.
+     * Creates the handler.
      *
-     * @param serving whether new requests are taken
-     * @param forwardCancel passes the id of a request to be cancelled on to the other entries
+     * @param serving whether this entry accepts new requests
+     * @param forwardCancel forwards the id of a request to cancel to the other entries
      */
     CallerHandler(
-            RequestServices services,
-            Settings.Limits limits,
-            BooleanSupplier serving,
-            Consumer<String> forwardCancel) {
+            RequestServices services, Settings.Limits limits, BooleanSupplier serving, Consumer<String> forwardCancel) {
         this.services = services;
         this.limits = limits;
         this.serving = serving;
@@ -141,7 +139,8 @@
         } else if (openRequests.containsKey(callerRequest.id())) {
             refuse(reply, CONFLICT, "request-id-in-use", "a request with this id is in progress here");
         } else {
-            RequestExecution execution = new RequestExecution(services, callerRequest, headers, body, reply, () -> openRequests.remove(callerRequest.id()));
+            RequestExecution execution = new RequestExecution(
+                    services, callerRequest, headers, body, reply, () -> openRequests.remove(callerRequest.id()));
             openRequests.put(callerRequest.id(), execution);
             execution.start();
         }
@@ -154,7 +153,7 @@
         reply.answer(ACCEPTED, HttpFields.EMPTY, new byte[0]);
     }
 
-    /** Cancels a request if this entry holds it; returns whether it does. Call on the loop. */
+    /** Cancels a request if this entry holds it and returns whether it does. Call on the event loop. */
     boolean cancel(String id) {
         RequestExecution execution = openRequests.get(id);
         if (execution != null) {
@@ -163,7 +162,7 @@
         return execution != null;
     }
 
-    /** Returns how many requests this entry holds. Call on the loop. */
+    /** Returns the number of requests in progress on this entry. Call on the event loop. */
     int openCount() {
         return openRequests.size();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHeaders.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHeaders.java
@@ -24,7 +24,7 @@
 import org.lupinpaddle.core.common.Urgency;
 import org.lupinpaddle.core.request.CallerRequest;
 
-/** Reads what a caller states about its request from its headers. */
+/** Parses the request headers of a caller. */
 final class CallerHeaders {
 
     static final String CLASS = "Lupin-Class";
@@ -43,7 +43,7 @@
 
     private CallerHeaders() {}
 
-    /** Returns the request that the headers state, or what is wrong with them. */
+    /** Returns the request described by the headers, or a message about the first invalid header. */
     static Either<String, CallerRequest> read(String service, HttpFields headers, long now) {
         Optional<Urgency> urgency = Urgency.ofWireName(text(headers, CLASS));
         if (urgency.isEmpty()) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerReply.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerReply.java
@@ -22,7 +22,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** The one answer to a caller. A second answer to the same request is a fault of ours and is refused. */
+/** Sends exactly one response to a caller. A second response to the same request is a bug and throws. */
 final class CallerReply {
 
     private final Response response;
@@ -34,10 +34,10 @@
         this.callback = callback;
     }
 
-    /** Sends the whole answer, with its length in front so that a broken one shows. */
+    /** Sends the complete response with a Content-Length, so that the caller can detect a truncated one. */
     void answer(int status, HttpFields headers, byte[] body) {
         if (!answered.compareAndSet(false, true)) {
-            throw new IllegalStateException("answered twice");
+            throw new IllegalStateException("a response was already sent for this request");
         }
         response.setStatus(status);
         response.getHeaders().add(headers);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerServer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerServer.java
@@ -29,7 +29,7 @@
 import org.lupinpaddle.daemon.slot.SlotHost;
 import org.lupinpaddle.daemon.trace.Traces;
 
-/** The callers' listener with all that it needs. */
+/** The HTTP server for callers. */
 public final class CallerServer implements AutoCloseable {
 
     private static final int THREADS = 12;
@@ -42,7 +42,7 @@
         this.listener = listener;
     }
 
-    /** Takes from a started Jetty client every step that it would take of its own. */
+    /** Disables redirects, protocol handlers and content decoding on a started Jetty client. */
     public static void configureClient(HttpClient client) {
         WorkerClient.configureClient(client);
     }
@@ -52,17 +52,17 @@
         listener.start();
     }
 
-    /** Returns IP and port. */
+    /** Returns the listening address as IP:PORT. */
     public String address() {
         return listener.address();
     }
 
-    /** Cancels a request if this entry holds it. Call on the loop. */
+    /** Cancels a request if this entry holds it. Call on the event loop. */
     public void cancel(String requestId) {
         handler.cancel(requestId);
     }
 
-    /** Returns how many requests this entry holds. Call on the loop. */
+    /** Returns the number of requests in progress on this entry. Call on the event loop. */
     public int openCount() {
         return handler.openCount();
     }
@@ -77,7 +77,7 @@
         return new Builder();
     }
 
-    /** Builds a {@link CallerServer}; every part must be set. */
+    /** Builds a {@link CallerServer}; every property must be set. */
     @SuppressWarnings("NullAway.Init")
     public static final class Builder {
         private Settings settings;
@@ -105,45 +105,45 @@
             return this;
         }
 
-        /** Sets the configuration in force. */
+        /** Sets the source of the current configuration. */
         public Builder config(ConfigSync c) {
             this.config = c;
             return this;
         }
 
-        /** Sets who grants slots and who keeps claims. */
+        /** Sets the components that grant slots and hold claims. */
         public Builder slotsAndClaims(SlotHost s, ClaimKeeper c) {
             this.slots = s;
             this.claims = c;
             return this;
         }
 
-        /** Sets the client towards workers. */
+        /** Sets the HTTP client for requests to workers. */
         public Builder workers(HttpClient w) {
             this.workers = w;
             return this;
         }
 
-        /** Sets where spans and counts go. */
+        /** Sets the destinations of spans and metrics. */
         public Builder telemetry(Traces t, MetricRegistry m) {
             this.traces = t;
             this.metrics = m;
             return this;
         }
 
-        /** Sets whether new requests are taken. */
+        /** Sets the supplier that says whether this entry accepts new requests. */
         public Builder serving(BooleanSupplier s) {
             this.serving = s;
             return this;
         }
 
-        /** Sets who passes a cancellation on to the other entries. */
+        /** Sets the consumer that forwards a cancellation to the other entries. */
         public Builder forwardCancel(Consumer<String> c) {
             this.forwardCancel = c;
             return this;
         }
 
-        /** Returns the server, not yet listening on this address. */
+        /** Returns a server for this address; {@link CallerServer#start} opens the listener. */
         public CallerServer build(InetSocketAddress address) {
             Settings.Limits limits = settings.limits();
             RequestServices services = new RequestServices(
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestExecution.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestExecution.java
@@ -43,8 +43,8 @@
 import org.lupinpaddle.daemon.trace.Traces;
 
 /**
- * Carries one request: takes what happens to its machine in {@code core} and does what that says. All
- * methods are called on the event loop.
+ * Executes one request: passes its events to the {@link RequestMachine} and performs the actions that the
+ * state machine returns. All methods are called on the event loop.
  */
 final class RequestExecution {
 
@@ -108,7 +108,7 @@
         handle(new RequestEvent.CallerGone());
     }
 
-    // An action can cause the next event at once: events are taken in turn, not nested.
+    // An action can raise the next event synchronously: events are queued and handled in order, not nested.
     private void handle(RequestEvent event) {
         events.add(event);
         if (running) {
@@ -150,7 +150,7 @@
     }
 
     private String jobId() {
-        return Objects.requireNonNull(request.jobId(), "claims are for jobs with an id");
+        return Objects.requireNonNull(request.jobId(), "a claim requires a job id");
     }
 
     private void takeClaim() {
@@ -193,7 +193,7 @@
             return;
         }
         if (worker == null || !worker.state().takesWork()) {
-            // Granted before the owner of the slots knew that the worker is leaving.
+            // The slot was granted before the slot owner learned that the worker is leaving.
             handle(new RequestEvent.AttemptEnded(a.attempt(), AttemptOutcome.REFUSED_LEAVING));
             return;
         }
@@ -204,7 +204,8 @@
         Span hop = services.traces().hop(span, request.id(), "attempt " + a.worker(), SpanKind.CLIENT);
         workerAddress = worker.address();
         taskId = request.id() + "." + a.attempt();
-        long timeoutMillis = Math.max(0, request.deadline() - services.loop().clock().millis()) + services.holdMillis();
+        long timeoutMillis =
+                Math.max(0, request.deadline() - services.loop().clock().millis()) + services.holdMillis();
         attempt = services.worker()
                 .send(
                         workerAddress,
@@ -238,7 +239,7 @@
     }
 
     private void forwardAnswer() {
-        WorkerResponse w = Objects.requireNonNull(answer, "an answer to pass on");
+        WorkerResponse w = Objects.requireNonNull(answer, "no worker response to forward");
         finish(Verdict.RAN, "answered", 0);
         HttpFields.Mutable out = HttpFields.build();
         w.headers().forEach(f -> {
@@ -265,7 +266,7 @@
         }
         reply.answer(a.reason().status(), out, new byte[0]);
         if (attempt != null) {
-            // Nobody waits for it any more: the worker may stop it, and the slot is free once it says so.
+            // The caller no longer waits for this attempt: the worker may stop it, which frees the slot.
             services.worker().stopTask(workerAddress, taskId);
         }
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestServices.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestServices.java
@@ -24,17 +24,17 @@
 import org.lupinpaddle.daemon.trace.Traces;
 
 /**
- * What every request of an entry uses.
+ * Dependencies shared by all requests of an entry.
  *
- * @param loop the loop that all requests run on
- * @param config the configuration in force
+ * @param loop the event loop that runs all requests
+ * @param config the source of the current configuration
  * @param slots grants slots
- * @param claims keeps claims on unsafe jobs
- * @param worker sends attempts
- * @param retries the entry's one retry budget
- * @param traces makes spans
- * @param metrics counts
- * @param holdMillis how long a slot stays held after its caller was answered
+ * @param claims holds claims on jobs that are not safe to repeat
+ * @param worker sends attempts to workers
+ * @param retries the retry budget shared by all requests of the entry
+ * @param traces creates spans
+ * @param metrics the metric registry
+ * @param holdMillis how long a slot stays held after the response to the caller
  */
 record RequestServices(
         EventLoop loop,
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerClient.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerClient.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.core.request.AttemptOutcome;
 
 /**
- * Sends one attempt to a worker and says truly whether it may have run. The client takes no step of its
- * own: no redirects, no authentication, and no second sending. An attempt counts as not sent only when it
- * failed before the client began to write to a connection; a pooled connection that the worker closed at
- * the same moment therefore gives "may have run".
+ * Sends an attempt to a worker and reports whether it may have run. The client does nothing implicitly: no
+ * redirects, no authentication and no resending. An attempt counts as not sent only if it failed before the
+ * client began to write to a connection; a pooled connection that the worker closes at the same moment is
+ * therefore reported as "may have run".
  */
 final class WorkerClient {
 
@@ -40,20 +40,20 @@
     private static final String LEAVING = "leaving";
     private static final int UNAVAILABLE = 503;
     private static final int SERVER_ERROR = 500;
-    // Shorter than any worker's own, so that a pooled connection is not closed just as it is used.
+    // Shorter than the idle timeout of any worker, so that a worker does not close a pooled connection during use.
     private static final long POOLED_IDLE_TIMEOUT_MILLIS = 5_000;
     private static final long STOP_TIMEOUT_MILLIS = 2_000;
 
     private final HttpClient client;
     private final int maxAnswerBytes;
 
-    /** Makes the client; the Jetty client is set up by {@link #configureClient} and started by the caller. */
+    /** Creates the client. The Jetty client must be started and set up with {@link #configureClient}. */
     WorkerClient(HttpClient client, int maxAnswerBytes) {
         this.client = client;
         this.maxAnswerBytes = maxAnswerBytes;
     }
 
-    /** Takes from a Jetty client, after its start, every step that it would take of its own. */
+    /** Disables redirects, protocol handlers and content decoding on a Jetty client. Call it after its start. */
     static void configureClient(HttpClient client) {
         client.setIdleTimeout(POOLED_IDLE_TIMEOUT_MILLIS);
         client.setFollowRedirects(false);
@@ -62,13 +62,13 @@
         client.setUserAgentField(null);
     }
 
-    /** One attempt that is under way. */
+    /** An attempt in progress. */
     interface Attempt {
-        /** Breaks the attempt off. */
+        /** Aborts the attempt. */
         void abort();
     }
 
-    /** Sends an attempt; {@code onEnd} is called once, on a thread of the client. */
+    /** Sends an attempt; {@code onEnd} is called exactly once, on a thread of the Jetty client. */
     Attempt send(
             String address,
             String path,
@@ -91,7 +91,7 @@
             }
         });
         return () -> {
-            var unused = request.abort(new TimeoutException("attempt broken off"));
+            var unused = request.abort(new TimeoutException("attempt aborted"));
         };
     }
 
@@ -110,7 +110,7 @@
         return new WorkerResponse(outcome, response.getStatus(), response.getHeaders(), body);
     }
 
-    /** Asks a worker to stop a task that nobody waits for; what it says does not matter. */
+    /** Asks a worker to stop a task whose caller no longer waits; the response is ignored. */
     void stopTask(String address, String taskId) {
         client.newRequest("http://" + address + "/tasks/" + taskId)
                 .method(HttpMethod.DELETE)
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerResponse.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/WorkerResponse.java
@@ -19,12 +19,12 @@
 import org.lupinpaddle.core.request.AttemptOutcome;
 
 /**
- * What came of one attempt at a worker.
+ * The result of one attempt on a worker.
  *
- * @param outcome how it ended
- * @param status the worker's HTTP status, or 0
- * @param headers the worker's headers
- * @param body the whole of the worker's answer, or nothing
+ * @param outcome how the attempt ended
+ * @param status the worker's HTTP status, or 0 if there is no response to forward
+ * @param headers the response headers
+ * @param body the complete response body, or an empty array
  */
 record WorkerResponse(AttemptOutcome outcome, int status, HttpFields headers, byte[] body) {
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' listener, and each request's way to a worker and back. */
+/** The HTTP server for callers and the forwarding of their requests to workers. */
 @NullMarked
 package org.lupinpaddle.daemon.caller;
 
