--- a/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
@@ -39,9 +39,9 @@
 import org.lupinpaddle.daemon.membership.EntryRecord;
 import org.lupinpaddle.daemon.membership.Membership;
 import org.lupinpaddle.daemon.membership.Registration;
-import org.lupinpaddle.daemon.operator.ChangeMaker;
+import org.lupinpaddle.daemon.operator.ChangeExecutor;
 import org.lupinpaddle.daemon.operator.CommandRunner;
-import org.lupinpaddle.daemon.operator.EntryFacts;
+import org.lupinpaddle.daemon.operator.EntryContext;
 import org.lupinpaddle.daemon.operator.OperatorHandler;
 import org.lupinpaddle.daemon.operator.QuestionAnswerer;
 import org.lupinpaddle.daemon.peer.PeerMesh;
@@ -135,8 +135,8 @@
     }
 
     private HttpListener operatorListener() {
-        EntryFacts facts = new EntryFacts(settings.entry(), config, membership, slots, traces, metrics);
-        CommandRunner runner = new CommandRunner(new QuestionAnswerer(facts), new ChangeMaker(config, writer, loop));
+        EntryContext context = new EntryContext(settings.entry(), config, membership, slots, traces, metrics);
+        CommandRunner runner = new CommandRunner(new QuestionAnswerer(context), new ChangeExecutor(config, writer, loop));
         return new HttpListener(
                 "operators",
                 Addresses.parse(settings.listen().operator()),
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeMaker.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeExecutor.java
@@ -29,43 +29,43 @@
 
 /**
  * Makes the changes that operators command: one compare-and-swap against the view, decided by {@link
- * ChangeDecider}. A swap that loses is decided again on what is then in force: where only a driver's step
+ * ChangePlanner}. A swap that loses is decided again on what is then in force: where only a driver's step
  * came between, the change still stands and is tried again; where another operator's change did, the
  * decision says who won.
  */
-public final class ChangeMaker {
+public final class ChangeExecutor {
 
     // A ledger that drivers write often is won within a few tries; more would hide a fault.
-    private static final int MOST_TRIES = 8;
-    private static final long PATIENCE_MILLIS = 9_000;
-    private static final int COME_BACK_SECONDS = 5;
+    private static final int MAX_ATTEMPTS = 8;
+    private static final long TIMEOUT_MILLIS = 9_000;
+    private static final int RETRY_AFTER_SECONDS = 5;
 
     private final ConfigSync config;
     private final StoreWriter writer;
     private final EventLoop loop;
 
     /** Makes the changer. */
-    public ChangeMaker(ConfigSync config, StoreWriter writer, EventLoop loop) {
+    public ChangeExecutor(ConfigSync config, StoreWriter writer, EventLoop loop) {
         this.config = config;
         this.writer = writer;
         this.loop = loop;
     }
 
     /** Makes a change for an operator. The answer comes within seconds, also from a store that hangs. */
-    public void make(Change change, String operator, Consumer<CommandResult> onResult) {
+    public void execute(Change change, String operator, Consumer<CommandResult> onResult) {
         if (!config.hasConfiguration() || !config.platformOk()) {
             onResult.accept(result(
                     CommandResult.REFUSED,
-                    "the platform does not answer, nothing was written; come back in " + COME_BACK_SECONDS + " s"));
+                    "the platform does not answer, nothing was written; come back in " + RETRY_AFTER_SECONDS + " s"));
             return;
         }
         Attempt a = new Attempt(change, operator, onResult);
-        loop.after(PATIENCE_MILLIS, () -> giveUp(a));
+        loop.after(TIMEOUT_MILLIS, () -> timeOut(a));
         // The operator may have just made another change elsewhere: decide on what the store holds now.
         config.refresh(() -> attempt(a, 1));
     }
 
-    private void giveUp(Attempt a) {
+    private void timeOut(Attempt a) {
         if (a.sent) {
             a.answer(result(
                     CommandResult.UNKNOWN,
@@ -73,7 +73,7 @@
         } else {
             a.answer(result(
                     CommandResult.REFUSED,
-                    "the store does not answer, nothing was written; come back in " + COME_BACK_SECONDS + " s"));
+                    "the store does not answer, nothing was written; come back in " + RETRY_AFTER_SECONDS + " s"));
         }
     }
 
@@ -99,24 +99,24 @@
         }
     }
 
-    private void attempt(Attempt a, int tries) {
+    private void attempt(Attempt a, int attemptNumber) {
         if (a.answered) {
             return;
         }
         String writeId = UUID.randomUUID().toString();
-        ChangeDecider decider = new ChangeDecider(config.view(), a.operator, writeId);
-        Either<String, ChangeDecider.Decision> decision = decider.decide(a.change);
-        if (decision.isLeft()) {
-            a.answer(result(CommandResult.REFUSED, decision.getLeft()));
+        ChangePlanner planner = new ChangePlanner(config.view(), a.operator, writeId);
+        Either<String, ChangePlanner.PlannedWrite> plan = planner.plan(a.change);
+        if (plan.isLeft()) {
+            a.answer(result(CommandResult.REFUSED, plan.getLeft()));
             return;
         }
-        ChangeDecider.Decision d = decision.get();
+        ChangePlanner.PlannedWrite d = plan.get();
         Swap swap = new Swap(d.key(), d.value(), config.view().revisionOf(d.key()), 0);
         a.sent = true;
         writer.write(swap, writeId, r -> {
             switch (r.fate()) {
                 case ACCEPTED -> accepted(a, d, r);
-                case REFUSED -> refused(a, tries);
+                case REFUSED -> refused(a, attemptNumber);
                 case UNKNOWN ->
                     a.answer(result(
                             CommandResult.UNKNOWN,
@@ -125,7 +125,7 @@
         });
     }
 
-    private void accepted(Attempt a, ChangeDecider.Decision d, WriteResult r) {
+    private void accepted(Attempt a, ChangePlanner.PlannedWrite d, WriteResult r) {
         CommandResult result = new CommandResult(
                 CommandResult.ACCEPTED,
                 r.revision(),
@@ -134,12 +134,12 @@
         config.refresh(() -> a.answer(result));
     }
 
-    private void refused(Attempt a, int tries) {
+    private void refused(Attempt a, int attemptNumber) {
         a.sent = false;
-        if (tries >= MOST_TRIES) {
+        if (attemptNumber >= MAX_ATTEMPTS) {
             a.answer(result(CommandResult.REFUSED, "others keep changing this record; try again"));
         } else {
-            loop.execute(() -> config.refresh(() -> attempt(a, tries + 1)));
+            loop.execute(() -> config.refresh(() -> attempt(a, attemptNumber + 1)));
         }
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeDecider.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangePlanner.java
@@ -38,13 +38,13 @@
 import org.lupinpaddle.core.wave.WaveState;
 
 /** Decides on one view whether a change can be made, and what is to be written for it. */
-final class ChangeDecider {
+final class ChangePlanner {
 
     private final FleetView view;
     private final String operator;
     private final String writeId;
 
-    ChangeDecider(FleetView view, String operator, String writeId) {
+    ChangePlanner(FleetView view, String operator, String writeId) {
         this.view = view;
         this.operator = operator;
         this.writeId = writeId;
@@ -57,10 +57,10 @@
      * @param value the record's text
      * @param text what to tell the operator once it is written
      */
-    record Decision(String key, String value, String text) {}
+    record PlannedWrite(String key, String value, String text) {}
 
     /** Returns what to write for a change, or why it is refused. */
-    Either<String, Decision> decide(Change change) {
+    Either<String, PlannedWrite> plan(Change change) {
         if (change instanceof OperatorCommand.ServiceCreate c) {
             return createService(c);
         } else if (change instanceof OperatorCommand.ServiceChange c) {
@@ -83,21 +83,21 @@
         return Either.left("this command is not known here; the tool may be newer than the entry");
     }
 
-    private static Either<String, Decision> write(String key, Object record, String text) {
-        return Either.right(new Decision(key, RecordCodec.write(record), text));
+    private static Either<String, PlannedWrite> plannedWrite(String key, Object record, String text) {
+        return Either.right(new PlannedWrite(key, RecordCodec.write(record), text));
     }
 
-    private Either<String, Decision> createService(OperatorCommand.ServiceCreate c) {
-        ServiceRecord held = view.services().get(c.name());
-        if (held != null && !held.retired()) {
-            return Either.left("service " + c.name() + " exists: " + held.operator() + " set budget " + held.budget()
-                    + ", reserve " + held.reserve());
+    private Either<String, PlannedWrite> createService(OperatorCommand.ServiceCreate c) {
+        ServiceRecord existing = view.services().get(c.name());
+        if (existing != null && !existing.retired()) {
+            return Either.left("service " + c.name() + " exists: " + existing.operator() + " set budget " + existing.budget()
+                    + ", reserve " + existing.reserve());
         }
         ServiceRecord next = ServiceRecord.create(c.name(), c.budget(), c.reserve(), operator, writeId);
-        return write(StoreKeys.service(c.name()), next, "service " + c.name() + " created");
+        return plannedWrite(StoreKeys.service(c.name()), next, "service " + c.name() + " created");
     }
 
-    private Either<String, Decision> changeService(OperatorCommand.ServiceChange c) {
+    private Either<String, PlannedWrite> changeService(OperatorCommand.ServiceChange c) {
         ServiceRecord s = view.services().get(c.name());
         if (s == null || s.retired()) {
             return Either.left("there is no service " + c.name());
@@ -112,32 +112,32 @@
                     + s.budget() + ", set by " + s.operator());
         }
         ServiceRecord next = s.withBudget(budget, Objects.requireNonNull(reserve), operator, writeId);
-        return write(
+        return plannedWrite(
                 StoreKeys.service(c.name()),
                 next,
                 "service " + c.name() + " has budget " + budget + ", reserve " + reserve + " (was " + s.budget() + ", "
                         + s.reserve() + ", set by " + s.operator() + ")");
     }
 
-    private Either<String, Decision> retireService(OperatorCommand.ServiceRetire c) {
+    private Either<String, PlannedWrite> retireService(OperatorCommand.ServiceRetire c) {
         ServiceRecord s = view.services().get(c.name());
         if (s == null || s.retired()) {
             return Either.left("there is no service " + c.name());
         }
-        Optional<PoolRecord> runs = view.pools().values().stream()
+        Optional<PoolRecord> servingPool = view.pools().values().stream()
                 .filter(p -> !p.retired() && p.runs(c.name()))
                 .findFirst();
-        if (runs.isPresent()) {
-            return Either.left("pool " + runs.get().name() + " runs service " + c.name() + "; retire the pool first");
+        if (servingPool.isPresent()) {
+            return Either.left("pool " + servingPool.get().name() + " runs service " + c.name() + "; retire the pool first");
         }
-        return write(StoreKeys.service(c.name()), s.asRetired(operator, writeId), "service " + c.name() + " retired");
+        return plannedWrite(StoreKeys.service(c.name()), s.asRetired(operator, writeId), "service " + c.name() + " retired");
     }
 
-    private Either<String, Decision> createPool(OperatorCommand.PoolCreate c) {
-        PoolRecord held = view.pools().get(c.name());
-        if (held != null && !held.retired()) {
-            return Either.left("pool " + c.name() + " exists: " + held.operator() + " made it for "
-                    + orNone(held.service()) + " at " + held.site());
+    private Either<String, PlannedWrite> createPool(OperatorCommand.PoolCreate c) {
+        PoolRecord existing = view.pools().get(c.name());
+        if (existing != null && !existing.retired()) {
+            return Either.left("pool " + c.name() + " exists: " + existing.operator() + " made it for "
+                    + orNone(existing.service()) + " at " + existing.site());
         }
         String service = c.service();
         ServiceRecord s = service == null ? null : view.services().get(service);
@@ -145,28 +145,28 @@
             return Either.left("there is no service " + service + "; create it first");
         }
         PoolRecord next = new PoolRecord(c.name(), service, c.site(), false, operator, writeId);
-        return write(StoreKeys.pool(c.name()), next, "pool " + c.name() + " created");
+        return plannedWrite(StoreKeys.pool(c.name()), next, "pool " + c.name() + " created");
     }
 
-    private Either<String, Decision> retirePool(OperatorCommand.PoolRetire c) {
+    private Either<String, PlannedWrite> retirePool(OperatorCommand.PoolRetire c) {
         PoolRecord p = view.pools().get(c.name());
         if (p == null || p.retired()) {
             return Either.left("there is no pool " + c.name());
         }
-        long left = view.instances().values().stream()
+        long remaining = view.instances().values().stream()
                 .filter(i -> i.pool().equals(c.name()) && i.state() != InstanceState.RETIRED)
                 .count();
-        if (left > 0) {
-            return Either.left("pool " + c.name() + " has " + left + " instances; migrate them first");
+        if (remaining > 0) {
+            return Either.left("pool " + c.name() + " has " + remaining + " instances; migrate them first");
         }
         PoolRecord next = new PoolRecord(p.name(), p.service(), p.site(), true, operator, writeId);
-        return write(StoreKeys.pool(c.name()), next, "pool " + c.name() + " retired");
+        return plannedWrite(StoreKeys.pool(c.name()), next, "pool " + c.name() + " retired");
     }
 
-    private Either<String, Decision> addInstance(OperatorCommand.InstanceAdd c) {
-        InstanceRecord held = view.instances().get(c.id());
-        if (held != null && held.state() != InstanceState.RETIRED) {
-            return Either.left("instance " + c.id() + " is in pool " + held.pool() + " already; a migration moves it");
+    private Either<String, PlannedWrite> addInstance(OperatorCommand.InstanceAdd c) {
+        InstanceRecord existing = view.instances().get(c.id());
+        if (existing != null && existing.state() != InstanceState.RETIRED) {
+            return Either.left("instance " + c.id() + " is in pool " + existing.pool() + " already; a migration moves it");
         }
         PoolRecord p = view.pools().get(c.pool());
         if (p == null || p.retired()) {
@@ -185,10 +185,10 @@
                 .address(c.address())
                 .size(c.slots(), c.memoryMb())
                 .build();
-        return writeInstance(next, "instance " + c.id() + " added to pool " + c.pool());
+        return planInstanceWrite(next, "instance " + c.id() + " added to pool " + c.pool());
     }
 
-    private Either<String, Decision> retireInstance(OperatorCommand.InstanceRetire c) {
+    private Either<String, PlannedWrite> retireInstance(OperatorCommand.InstanceRetire c) {
         InstanceRecord i = view.instances().get(c.id());
         if (i == null || i.state() == InstanceState.RETIRED) {
             return Either.left("there is no instance " + c.id());
@@ -201,18 +201,18 @@
         if (i.state() != InstanceState.IN_SERVICE) {
             return Either.left("instance " + c.id() + " is " + i.state() + " for wave " + orNone(i.wave()));
         }
-        return writeInstance(i.toBuilder().state(InstanceState.RETIRED).build(), "instance " + c.id() + " retired");
+        return planInstanceWrite(i.toBuilder().state(InstanceState.RETIRED).build(), "instance " + c.id() + " retired");
     }
 
-    private Either<String, Decision> writeInstance(InstanceRecord next, String text) {
-        return write(StoreKeys.shardOf(next.id()), view.shardOf(next.id()).with(next, writeId), text);
+    private Either<String, PlannedWrite> planInstanceWrite(InstanceRecord next, String text) {
+        return plannedWrite(StoreKeys.shardOf(next.id()), view.shardOf(next.id()).with(next, writeId), text);
     }
 
-    private Either<String, Decision> startWave(WaveDraft draft) {
-        WaveRecord held = view.waves().get(draft.name());
-        if (held != null) {
-            return Either.left("wave " + draft.name() + " exists: " + held.operator() + " started or steered it last, "
-                    + "it is " + held.state() + "; a wave's name is used once");
+    private Either<String, PlannedWrite> startWave(WaveDraft draft) {
+        WaveRecord existing = view.waves().get(draft.name());
+        if (existing != null) {
+            return Either.left("wave " + draft.name() + " exists: " + existing.operator() + " started or steered it last, "
+                    + "it is " + existing.state() + "; a wave's name is used once");
         }
         WavePlan plan = WavePlanner.plan(view, draft);
         if (!plan.canFinish()) {
@@ -228,13 +228,13 @@
                 "started",
                 operator,
                 writeId);
-        return write(
+        return plannedWrite(
                 StoreKeys.wave(draft.name()),
                 next,
                 "wave " + draft.name() + " started: " + plan.moves() + " moves in " + plan.rounds() + " rounds");
     }
 
-    private Either<String, Decision> steerWave(OperatorCommand.WaveSteer c) {
+    private Either<String, PlannedWrite> steerWave(OperatorCommand.WaveSteer c) {
         WaveRecord w = view.waves().get(c.name());
         if (w == null) {
             return Either.left("there is no wave " + c.name());
@@ -245,7 +245,7 @@
                     "wave " + c.name() + " is " + w.state() + " (" + w.reason() + "), last steered by " + w.operator());
         }
         String reason = c.steering().past() + " by an operator";
-        return write(
+        return plannedWrite(
                 StoreKeys.wave(c.name()),
                 w.withState(next, reason, operator, writeId),
                 "wave " + c.name() + " is " + next + " (was " + w.state() + ")");
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandExecutor.java
@@ -21,5 +21,5 @@
 public interface CommandExecutor {
 
     /** Runs the command that the words say, for an operator; call on the loop, the result may come on any thread. */
-    void run(String words, String operator, Consumer<CommandResult> onResult);
+    void run(String commandLine, String operator, Consumer<CommandResult> onResult);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandResult.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandResult.java
@@ -39,8 +39,8 @@
     public static final String UNKNOWN = "unknown";
 
     /** Returns a refusal with its reason. */
-    public static CommandResult refused(String why) {
-        return new CommandResult(REFUSED, 0, List.of(why), NullNode.getInstance());
+    public static CommandResult refused(String reason) {
+        return new CommandResult(REFUSED, 0, List.of(reason), NullNode.getInstance());
     }
 
     /** Returns an answer in one line. */
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandRunner.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandRunner.java
@@ -24,25 +24,25 @@
 /** Reads one command and has it answered or made. */
 public final class CommandRunner implements CommandExecutor {
 
-    private final QuestionAnswerer answerer;
-    private final ChangeMaker changer;
+    private final QuestionAnswerer questionAnswerer;
+    private final ChangeExecutor changeExecutor;
 
     /** Makes the runner. */
-    public CommandRunner(QuestionAnswerer answerer, ChangeMaker changer) {
-        this.answerer = answerer;
-        this.changer = changer;
+    public CommandRunner(QuestionAnswerer questionAnswerer, ChangeExecutor changeExecutor) {
+        this.questionAnswerer = questionAnswerer;
+        this.changeExecutor = changeExecutor;
     }
 
     @Override
-    public void run(String words, String operator, Consumer<CommandResult> onResult) {
-        Either<String, OperatorCommand> command = CommandParser.parse(CommandParser.split(words));
+    public void run(String commandLine, String operator, Consumer<CommandResult> onResult) {
+        Either<String, OperatorCommand> command = CommandParser.parse(CommandParser.split(commandLine));
         if (command.isLeft()) {
             onResult.accept(CommandResult.refused(command.getLeft()));
         } else if (command.get() instanceof OperatorCommand.Question q) {
-            onResult.accept(answerer.answer(q));
+            onResult.accept(questionAnswerer.answer(q));
         } else if (command.get() instanceof OperatorCommand.Change c) {
-            changer.make(c, operator, result -> {
-                Log.info("change", "operator", operator, "command", words.strip(), "fate", result.fate());
+            changeExecutor.execute(c, operator, result -> {
+                Log.info("change", "operator", operator, "command", commandLine.strip(), "fate", result.fate());
                 onResult.accept(result);
             });
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/EntryFacts.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/EntryContext.java
@@ -32,7 +32,7 @@
  * @param traces the spans that are kept
  * @param metrics the entry's metrics
  */
-public record EntryFacts(
+public record EntryContext(
         Settings.Entry entry,
         ConfigSync config,
         Membership membership,
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/OperatorHandler.java
@@ -36,8 +36,8 @@
 public final class OperatorHandler extends Handler.Abstract.NonBlocking {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
-    private static final String SCHEME = "Bearer ";
-    private static final int MOST_BYTES = 16_384;
+    private static final String BEARER_PREFIX = "Bearer ";
+    private static final int MAX_COMMAND_BYTES = 16_384;
     private static final int OK = 200;
     private static final int UNAUTHORIZED = 401;
     private static final int NOT_FOUND = 404;
@@ -45,18 +45,18 @@
 
     private final byte[] token;
     private final EventLoop loop;
-    private final CommandExecutor runner;
+    private final CommandExecutor executor;
 
     /** Makes the handler; {@code token} never leaves it. */
-    public OperatorHandler(String token, EventLoop loop, CommandExecutor runner) {
+    public OperatorHandler(String token, EventLoop loop, CommandExecutor executor) {
         this.token = token.getBytes(StandardCharsets.UTF_8);
         this.loop = loop;
-        this.runner = runner;
+        this.executor = executor;
     }
 
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
-        if (!isAllowed(request.getHeaders().get(HttpHeader.AUTHORIZATION))) {
+        if (!isAuthorized(request.getHeaders().get(HttpHeader.AUTHORIZATION))) {
             Log.warn("operator-refused", "remote", Request.getRemoteAddr(request));
             response.getHeaders().put(HttpHeader.WWW_AUTHENTICATE, "Bearer");
             answer(response, callback, UNAUTHORIZED, CommandResult.refused("a bearer token is needed"));
@@ -64,7 +64,7 @@
                 || !request.getHttpURI().getCanonicalPath().equals("/v1/command")) {
             answer(response, callback, NOT_FOUND, CommandResult.refused("POST /v1/command takes a command"));
         } else {
-            CompletableFuture<byte[]> body = Content.Source.asByteArrayAsync(request, MOST_BYTES);
+            CompletableFuture<byte[]> body = Content.Source.asByteArrayAsync(request, MAX_COMMAND_BYTES);
             body.whenComplete((bytes, failure) -> {
                 if (failure != null) {
                     answer(response, callback, TOO_LARGE, CommandResult.refused("a command is too long"));
@@ -76,19 +76,19 @@
         return true;
     }
 
-    private boolean isAllowed(@org.jspecify.annotations.Nullable String header) {
-        if (header == null || !header.startsWith(SCHEME)) {
+    private boolean isAuthorized(@org.jspecify.annotations.Nullable String header) {
+        if (header == null || !header.startsWith(BEARER_PREFIX)) {
             return false;
         }
-        byte[] given = header.substring(SCHEME.length()).getBytes(StandardCharsets.UTF_8);
+        byte[] given = header.substring(BEARER_PREFIX.length()).getBytes(StandardCharsets.UTF_8);
         return MessageDigest.isEqual(given, token);
     }
 
-    private void run(String words, Request request, Response response, Callback callback) {
-        String operator = Request.getRemoteAddr(request);
+    private void run(String commandLine, Request request, Response response, Callback callback) {
+        String remoteAddress = Request.getRemoteAddr(request);
         String name = request.getHeaders().get("Operator-Name");
-        String who = name == null || name.isBlank() ? operator : name;
-        loop.execute(() -> runner.run(words, who, result -> answer(response, callback, OK, result)));
+        String operator = name == null || name.isBlank() ? remoteAddress : name;
+        loop.execute(() -> executor.run(commandLine, operator, result -> answer(response, callback, OK, result)));
     }
 
     private static void answer(Response response, Callback callback, int status, CommandResult result) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
@@ -47,11 +47,11 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final EntryFacts facts;
+    private final EntryContext context;
 
     /** Makes the answerer. */
-    public QuestionAnswerer(EntryFacts facts) {
-        this.facts = facts;
+    public QuestionAnswerer(EntryContext context) {
+        this.context = context;
     }
 
     /** Returns the answer to a question. */
@@ -83,7 +83,7 @@
     }
 
     private FleetView view() {
-        return facts.config().view();
+        return context.config().view();
     }
 
     private CommandResult result(List<String> lines, Object data) {
@@ -94,29 +94,29 @@
     private CommandResult status() {
         FleetView v = view();
         List<String> lines = new ArrayList<>();
-        lines.add("entry " + facts.entry().id() + " in hall " + facts.entry().hall() + ", region "
-                + facts.entry().region());
+        lines.add("entry " + context.entry().id() + " in hall " + context.entry().hall() + ", region "
+                + context.entry().region());
         lines.add("configuration at revision " + v.contentRevision() + " (store at " + v.revision() + "), platform "
-                + (facts.config().platformOk() ? "answers" : "does not answer")
-                + (facts.config().isWatching() ? ", this entry watches for its hall" : ""));
+                + (context.config().platformOk() ? "answers" : "does not answer")
+                + (context.config().isWatching() ? ", this entry watches for its hall" : ""));
         lines.add(v.services().size() + " services, " + v.pools().size() + " pools, "
                 + v.instances().size() + " instances, " + v.waves().size() + " waves");
-        lines.add("reachable entries: " + facts.membership().reachable().size() + " of "
-                + facts.membership().peers().size());
-        lines.add("owned here: " + facts.slots().grantsInUse() + " slots in use, "
-                + facts.slots().queueLength() + " requests wait, ejected workers "
-                + facts.slots().ejected());
+        lines.add("reachable entries: " + context.membership().reachable().size() + " of "
+                + context.membership().peers().size());
+        lines.add("owned here: " + context.slots().grantsInUse() + " slots in use, "
+                + context.slots().queueLength() + " requests wait, ejected workers "
+                + context.slots().ejected());
         return result(lines, lines);
     }
 
     private CommandResult entries() {
-        List<PeerState> peers = List.copyOf(facts.membership().peers());
+        List<PeerState> peers = List.copyOf(context.membership().peers());
         List<String> lines = new ArrayList<>();
-        lines.add(facts.entry().id() + "  hall " + facts.entry().hall() + "  this entry  revision "
+        lines.add(context.entry().id() + "  hall " + context.entry().hall() + "  this entry  revision "
                 + view().contentRevision());
         for (PeerState p : peers) {
             lines.add(p.id() + "  hall " + p.hall() + "  "
-                    + (facts.membership().isReachable(p) ? "reachable" : "not heard") + "  "
+                    + (context.membership().isReachable(p) ? "reachable" : "not heard") + "  "
                     + (p.registered() ? "registered" : "not registered") + "  revision " + p.revision()
                     + (p.platformOk() ? "" : "  without the platform"));
         }
@@ -125,9 +125,9 @@
 
     private CommandResult metrics() {
         Map<String, Object> all = new TreeMap<>();
-        facts.metrics().getCounters().forEach((k, c) -> all.put(k, c.getCount()));
-        facts.metrics().getGauges().forEach((k, g) -> all.put(k, g.getValue()));
-        facts.metrics().getHistograms().forEach((k, h) -> {
+        context.metrics().getCounters().forEach((k, c) -> all.put(k, c.getCount()));
+        context.metrics().getGauges().forEach((k, g) -> all.put(k, g.getValue()));
+        context.metrics().getHistograms().forEach((k, h) -> {
             Snapshot s = h.getSnapshot();
             all.put(k + ".count", h.getCount());
             all.put(k + ".p50", s.getMedian());
@@ -141,7 +141,7 @@
     }
 
     private CommandResult trace(String requestId) {
-        List<SpanData> spans = facts.traces().of(requestId);
+        List<SpanData> spans = context.traces().of(requestId);
         if (spans.isEmpty()) {
             return CommandResult.refused("no spans of request " + requestId
                     + " are kept here; ask the entry that served it, or it is too old");
@@ -184,12 +184,12 @@
         List<PoolRecord> all = List.copyOf(view().pools().values());
         List<String> lines = all.stream()
                 .map(p -> p.name() + "  service " + (p.service() == null ? "none, spare" : p.service()) + "  site "
-                        + p.site() + "  " + states(p.name()) + (p.retired() ? "  retired" : ""))
+                        + p.site() + "  " + stateCounts(p.name()) + (p.retired() ? "  retired" : ""))
                 .toList();
         return result(lines, all);
     }
 
-    private String states(String pool) {
+    private String stateCounts(String pool) {
         Map<InstanceState, Long> counts = view().instances().values().stream()
                 .filter(i -> i.pool().equals(pool))
                 .collect(Collectors.groupingBy(InstanceRecord::state, TreeMap::new, Collectors.counting()));
@@ -200,10 +200,10 @@
         List<InstanceRecord> all = view().instances().values().stream()
                 .filter(i -> pool == null || pool.equals(i.pool()))
                 .toList();
-        return result(all.stream().map(QuestionAnswerer::line).toList(), all);
+        return result(all.stream().map(QuestionAnswerer::describe).toList(), all);
     }
 
-    private static String line(InstanceRecord i) {
+    private static String describe(InstanceRecord i) {
         return i.id() + "  pool " + i.pool() + "  " + i.state() + "  hall " + i.hall() + "  rack " + i.rack() + "  "
                 + i.address() + "  slots " + i.slots() + "  incarnation " + i.incarnation()
                 + (i.wave() == null ? "" : "  for wave " + i.wave());
@@ -215,8 +215,8 @@
             return CommandResult.refused("there is no instance " + id);
         }
         List<String> lines = new ArrayList<>();
-        lines.add(line(i));
-        lines.add(reason(i));
+        lines.add(describe(i));
+        lines.add(describeState(i));
         view().serviceOf(i).ifPresent(s -> {
             Permit p = s.permits().get(id);
             lines.add("service " + s.name() + ": budget " + s.budget() + ", "
@@ -233,7 +233,7 @@
         return result(lines, i);
     }
 
-    private static String reason(InstanceRecord i) {
+    private static String describeState(InstanceRecord i) {
         return switch (i.state()) {
             case IN_SERVICE -> "takes new work";
             case LEAVING -> "gets no new work; waits until all entries have confirmed that and its worker is idle";
@@ -256,10 +256,10 @@
 
     private CommandResult waves() {
         List<WaveRecord> all = List.copyOf(view().waves().values());
-        return result(all.stream().map(this::line).toList(), all);
+        return result(all.stream().map(this::describe).toList(), all);
     }
 
-    private String line(WaveRecord w) {
+    private String describe(WaveRecord w) {
         long done = w.targets().stream().filter(t -> isDone(t, w)).count();
         return w.name() + "  " + w.state() + "  " + done + " of " + w.targets().size() + " done  " + w.reason()
                 + "  last steered by " + w.operator();
@@ -276,23 +276,23 @@
             return CommandResult.refused("there is no wave " + name);
         }
         List<String> lines = new ArrayList<>();
-        lines.add(line(w));
+        lines.add(describe(w));
         for (WaveTarget t : w.targets()) {
             InstanceRecord i = view().instances().get(t.instance());
             if (i != null) {
                 lines.add(t.instance() + "  "
-                        + (isDone(t, w) ? "done" : i.state().toString()) + "  " + waitsFor(w, t, i));
+                        + (isDone(t, w) ? "done" : i.state().toString()) + "  " + describeWait(w, t, i));
             }
         }
         return result(lines, w);
     }
 
-    private String waitsFor(WaveRecord w, WaveTarget t, InstanceRecord i) {
+    private String describeWait(WaveRecord w, WaveTarget t, InstanceRecord i) {
         if (isDone(t, w)) {
             return "";
         }
         if (i.state() != InstanceState.IN_SERVICE) {
-            return reason(i);
+            return describeState(i);
         }
         if (!w.state().takesOut()) {
             return "stays: the wave is " + w.state();
