--- a/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/Entry.java
@@ -136,7 +136,8 @@
 
     private HttpListener operatorListener() {
         EntryContext context = new EntryContext(settings.entry(), config, membership, slots, traces, metrics);
-        CommandRunner runner = new CommandRunner(new QuestionAnswerer(context), new ChangeExecutor(config, writer, loop));
+        CommandRunner runner =
+                new CommandRunner(new QuestionAnswerer(context), new ChangeExecutor(config, writer, loop));
         return new HttpListener(
                 "operators",
                 Addresses.parse(settings.listen().operator()),
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangeExecutor.java
@@ -28,14 +28,14 @@
 import org.lupinpaddle.daemon.platform.WriteResult;
 
 /**
- * Makes the changes that operators command: one compare-and-swap against the view, decided by {@link
- * ChangePlanner}. A swap that loses is decided again on what is then in force: where only a driver's step
- * came between, the change still stands and is tried again; where another operator's change did, the
- * decision says who won.
+ * Executes the changes that operators request. Each change is one compare-and-swap against the current view,
+ * prepared by {@link ChangePlanner}. After a conflict, the change is planned again on the refreshed view: if
+ * only a step of a wave driver intervened, the change is still valid and is retried; if another operator's
+ * change intervened, the refusal names that operator.
  */
 public final class ChangeExecutor {
 
-    // A ledger that drivers write often is won within a few tries; more would hide a fault.
+    // A few attempts suffice even for a record that wave drivers write often; more would hide a bug.
     private static final int MAX_ATTEMPTS = 8;
     private static final long TIMEOUT_MILLIS = 9_000;
     private static final int RETRY_AFTER_SECONDS = 5;
@@ -44,14 +44,14 @@
     private final StoreWriter writer;
     private final EventLoop loop;
 
-    /** Makes the changer. */
+    /** Creates the executor. */
     public ChangeExecutor(ConfigSync config, StoreWriter writer, EventLoop loop) {
         this.config = config;
         this.writer = writer;
         this.loop = loop;
     }
 
-    /** Makes a change for an operator. The answer comes within seconds, also from a store that hangs. */
+    /** Executes a change for an operator. The result arrives within the timeout even if the store hangs. */
     public void execute(Change change, String operator, Consumer<CommandResult> onResult) {
         if (!config.hasConfiguration() || !config.platformOk()) {
             onResult.accept(result(
@@ -61,7 +61,8 @@
         }
         Attempt a = new Attempt(change, operator, onResult);
         loop.after(TIMEOUT_MILLIS, () -> timeOut(a));
-        // The operator may have just made another change elsewhere: decide on what the store holds now.
+        // The operator may have just made another change on a different entry, so plan on the current state of the
+        // store.
         config.refresh(() -> attempt(a, 1));
     }
 
@@ -77,7 +78,7 @@
         }
     }
 
-    /** One change on its way; answered once. */
+    /** A change in progress; its result is delivered exactly once. */
     private static final class Attempt {
         private final Change change;
         private final String operator;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangePlanner.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/ChangePlanner.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.wave.WaveRecord;
 import org.lupinpaddle.core.wave.WaveState;
 
-/** Decides on one view whether a change can be made, and what is to be written for it. */
+/** Validates a change against one view of the fleet and determines the record to write for it. */
 final class ChangePlanner {
 
     private final FleetView view;
@@ -51,15 +51,15 @@
     }
 
     /**
-     * What is to be written.
+     * The record to write for a change.
      *
      * @param key the record's key
-     * @param value the record's text
-     * @param text what to tell the operator once it is written
+     * @param value the encoded record
+     * @param text the message to the operator after the write
      */
     record PlannedWrite(String key, String value, String text) {}
 
-    /** Returns what to write for a change, or why it is refused. */
+    /** Returns the record to write for a change, or the reason why the change is refused. */
     Either<String, PlannedWrite> plan(Change change) {
         if (change instanceof OperatorCommand.ServiceCreate c) {
             return createService(c);
@@ -90,8 +90,8 @@
     private Either<String, PlannedWrite> createService(OperatorCommand.ServiceCreate c) {
         ServiceRecord existing = view.services().get(c.name());
         if (existing != null && !existing.retired()) {
-            return Either.left("service " + c.name() + " exists: " + existing.operator() + " set budget " + existing.budget()
-                    + ", reserve " + existing.reserve());
+            return Either.left("service " + c.name() + " exists: " + existing.operator() + " set budget "
+                    + existing.budget() + ", reserve " + existing.reserve());
         }
         ServiceRecord next = ServiceRecord.create(c.name(), c.budget(), c.reserve(), operator, writeId);
         return plannedWrite(StoreKeys.service(c.name()), next, "service " + c.name() + " created");
@@ -128,9 +128,11 @@
                 .filter(p -> !p.retired() && p.runs(c.name()))
                 .findFirst();
         if (servingPool.isPresent()) {
-            return Either.left("pool " + servingPool.get().name() + " runs service " + c.name() + "; retire the pool first");
+            return Either.left(
+                    "pool " + servingPool.get().name() + " runs service " + c.name() + "; retire the pool first");
         }
-        return plannedWrite(StoreKeys.service(c.name()), s.asRetired(operator, writeId), "service " + c.name() + " retired");
+        return plannedWrite(
+                StoreKeys.service(c.name()), s.asRetired(operator, writeId), "service " + c.name() + " retired");
     }
 
     private Either<String, PlannedWrite> createPool(OperatorCommand.PoolCreate c) {
@@ -166,7 +168,8 @@
     private Either<String, PlannedWrite> addInstance(OperatorCommand.InstanceAdd c) {
         InstanceRecord existing = view.instances().get(c.id());
         if (existing != null && existing.state() != InstanceState.RETIRED) {
-            return Either.left("instance " + c.id() + " is in pool " + existing.pool() + " already; a migration moves it");
+            return Either.left(
+                    "instance " + c.id() + " is in pool " + existing.pool() + " already; a migration moves it");
         }
         PoolRecord p = view.pools().get(c.pool());
         if (p == null || p.retired()) {
@@ -205,14 +208,15 @@
     }
 
     private Either<String, PlannedWrite> planInstanceWrite(InstanceRecord next, String text) {
-        return plannedWrite(StoreKeys.shardOf(next.id()), view.shardOf(next.id()).with(next, writeId), text);
+        return plannedWrite(
+                StoreKeys.shardOf(next.id()), view.shardOf(next.id()).with(next, writeId), text);
     }
 
     private Either<String, PlannedWrite> startWave(WaveDraft draft) {
         WaveRecord existing = view.waves().get(draft.name());
         if (existing != null) {
-            return Either.left("wave " + draft.name() + " exists: " + existing.operator() + " started or steered it last, "
-                    + "it is " + existing.state() + "; a wave's name is used once");
+            return Either.left("wave " + draft.name() + " exists: " + existing.operator()
+                    + " started or steered it last, " + "it is " + existing.state() + "; a wave's name is used once");
         }
         WavePlan plan = WavePlanner.plan(view, draft);
         if (!plan.canFinish()) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandExecutor.java
@@ -17,9 +17,9 @@
 
 import java.util.function.Consumer;
 
-/** Runs operators' commands. */
+/** Executes operator commands. */
 public interface CommandExecutor {
 
-    /** Runs the command that the words say, for an operator; call on the loop, the result may come on any thread. */
+    /** Executes a command line for an operator. Call on the event loop; the result may arrive on any thread. */
     void run(String commandLine, String operator, Consumer<CommandResult> onResult);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandResult.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandResult.java
@@ -20,30 +20,30 @@
 import java.util.List;
 
 /**
- * The answer to a command.
+ * The result of a command.
  *
- * @param fate answered (a question), accepted, refused or unknown (a change)
- * @param revision the revision of the configuration that the answer speaks of
- * @param lines the answer for people, a line each
- * @param data the answer for programs
+ * @param fate {@link #ANSWERED} for a question; {@link #ACCEPTED}, {@link #REFUSED} or {@link #UNKNOWN} for a change
+ * @param revision the revision of the configuration that the result refers to
+ * @param lines the human-readable lines of the result
+ * @param data the machine-readable result
  */
 public record CommandResult(String fate, long revision, List<String> lines, JsonNode data) {
 
-    /** The answer to a question. */
+    /** The question was answered. */
     public static final String ANSWERED = "answered";
-    /** A change is in the store. */
+    /** The change was written to the store. */
     public static final String ACCEPTED = "accepted";
-    /** A change was not made. */
+    /** The change was not made. */
     public static final String REFUSED = "refused";
-    /** The store did not say whether a change was made. */
+    /** The store did not confirm whether the change was written. */
     public static final String UNKNOWN = "unknown";
 
-    /** Returns a refusal with its reason. */
+    /** Returns a refusal with the given reason. */
     public static CommandResult refused(String reason) {
         return new CommandResult(REFUSED, 0, List.of(reason), NullNode.getInstance());
     }
 
-    /** Returns an answer in one line. */
+    /** Returns a result of one line. */
     public static CommandResult of(String fate, long revision, String line) {
         return new CommandResult(fate, revision, List.of(line), NullNode.getInstance());
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandRunner.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/CommandRunner.java
@@ -21,13 +21,13 @@
 import org.lupinpaddle.core.command.OperatorCommand;
 import org.lupinpaddle.daemon.common.Log;
 
-/** Reads one command and has it answered or made. */
+/** Parses a command and dispatches it to {@link QuestionAnswerer} or {@link ChangeExecutor}. */
 public final class CommandRunner implements CommandExecutor {
 
     private final QuestionAnswerer questionAnswerer;
     private final ChangeExecutor changeExecutor;
 
-    /** Makes the runner. */
+    /** Creates the runner. */
     public CommandRunner(QuestionAnswerer questionAnswerer, ChangeExecutor changeExecutor) {
         this.questionAnswerer = questionAnswerer;
         this.changeExecutor = changeExecutor;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/EntryContext.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/EntryContext.java
@@ -23,13 +23,13 @@
 import org.lupinpaddle.daemon.trace.Traces;
 
 /**
- * What questions are answered from.
+ * The components of an entry from which {@link QuestionAnswerer} reads its answers.
  *
- * @param entry who this entry is
- * @param config the configuration in force
- * @param membership the other entries
+ * @param entry the identity of this entry
+ * @param config the source of the current configuration
+ * @param membership the state of the other entries
  * @param slots the slots that this entry owns
- * @param traces the spans that are kept
+ * @param traces the retained spans
  * @param metrics the entry's metrics
  */
 public record EntryContext(
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/OperatorHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/OperatorHandler.java
@@ -30,8 +30,8 @@
 import org.lupinpaddle.daemon.common.Log;
 
 /**
- * The operators' API: {@code POST /v1/command} with the words of one command as its body, and nothing
- * else. Without the right bearer token the answer is 401 and nothing is done.
+ * Serves the HTTP API for operators: {@code POST /v1/command} with one command line as its body. A request
+ * without the correct bearer token is answered with 401 and has no effect.
  */
 public final class OperatorHandler extends Handler.Abstract.NonBlocking {
 
@@ -47,7 +47,7 @@
     private final EventLoop loop;
     private final CommandExecutor executor;
 
-    /** Makes the handler; {@code token} never leaves it. */
+    /** Creates the handler; {@code token} is never passed on or logged. */
     public OperatorHandler(String token, EventLoop loop, CommandExecutor executor) {
         this.token = token.getBytes(StandardCharsets.UTF_8);
         this.loop = loop;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/QuestionAnswerer.java
@@ -41,7 +41,7 @@
 import org.lupinpaddle.core.wave.WaveTarget;
 import org.lupinpaddle.daemon.membership.PeerState;
 
-/** Answers operators' questions from what this entry knows; nothing is changed and nobody else is asked. */
+/** Answers operators' questions from the state of this entry, without changes or calls to other components. */
 public final class QuestionAnswerer {
 
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -49,7 +49,7 @@
 
     private final EntryContext context;
 
-    /** Makes the answerer. */
+    /** Creates the answerer. */
     public QuestionAnswerer(EntryContext context) {
         this.context = context;
     }
@@ -94,8 +94,8 @@
     private CommandResult status() {
         FleetView v = view();
         List<String> lines = new ArrayList<>();
-        lines.add("entry " + context.entry().id() + " in hall " + context.entry().hall() + ", region "
-                + context.entry().region());
+        lines.add("entry " + context.entry().id() + " in hall "
+                + context.entry().hall() + ", region " + context.entry().region());
         lines.add("configuration at revision " + v.contentRevision() + " (store at " + v.revision() + "), platform "
                 + (context.config().platformOk() ? "answers" : "does not answer")
                 + (context.config().isWatching() ? ", this entry watches for its hall" : ""));
--- a/daemon/src/main/java/org/lupinpaddle/daemon/operator/package-info.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/operator/package-info.java
@@ -1,4 +1,4 @@
-/** The operators' listener and the commands it carries out. */
+/** The HTTP API for operators and the execution of their commands. */
 @NullMarked
 package org.lupinpaddle.daemon.operator;
 
