--- a/core/src/main/java/org/lupinpaddle/core/request/CallerRequest.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/CallerRequest.java
@@ -41,7 +41,7 @@
         int memoryMb) {
 
     /** Returns whether a claim in the store must come before the request is sent. */
-    public boolean needsClaim() {
+    public boolean requiresClaim() {
         return !repeatable && jobId != null;
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
@@ -26,7 +26,7 @@
     /** By what is known now it would not start before its deadline. */
     HOPELESS("hopeless", 503, 5_000),
     /** No worker of the service can be reached from here. */
-    CUT_OFF("cut-off", 503, 3_000),
+    CUT_OFF("cut-disabledRule", 503, 3_000),
     /** No worker is large enough for what it declares. */
     TOO_LARGE("too-large", 422, 0),
     /** It failed on several workers that serve other work well. */
@@ -46,12 +46,12 @@
 
     private final String wireName;
     private final int status;
-    private final long comeBackMillis;
+    private final long retryAfterMillis;
 
-    GiveUpReason(String wireName, int status, long comeBackMillis) {
+    GiveUpReason(String wireName, int status, long retryAfterMillis) {
         this.wireName = wireName;
         this.status = status;
-        this.comeBackMillis = comeBackMillis;
+        this.retryAfterMillis = retryAfterMillis;
     }
 
     /** Returns the name used in headers and logs. */
@@ -65,7 +65,7 @@
     }
 
     /** Returns when coming back can help, in milliseconds from now; 0 where it can not. */
-    public long comeBackMillis() {
-        return comeBackMillis;
+    public long retryAfterMillis() {
+        return retryAfterMillis;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestAction.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestAction.java
@@ -22,16 +22,16 @@
 public sealed interface RequestAction {
 
     /** Take the claim on the job in the store. */
-    record TakeClaim() implements RequestAction {}
+    record AcquireClaim() implements RequestAction {}
 
     /** Mark our claim as not run, since nothing was sent and nothing will be. */
-    record SettleClaim() implements RequestAction {}
+    record MarkClaimNotRun() implements RequestAction {}
 
     /** Ask for a slot, on none of these workers if there is another. */
-    record AskSlot(Set<String> avoid) implements RequestAction {}
+    record RequestSlot(Set<String> excludedWorkers) implements RequestAction {}
 
     /** Take back the ask for a slot. */
-    record CancelAsk() implements RequestAction {}
+    record CancelSlotRequest() implements RequestAction {}
 
     /** Send the request to the worker. */
     record Send(int attempt, String worker) implements RequestAction {}
@@ -40,8 +40,8 @@
     record ReleaseSlot(long grant, String worker, AttemptOutcome outcome) implements RequestAction {}
 
     /** Pass the worker's answer to this attempt on to the caller. */
-    record PassAnswer(int attempt) implements RequestAction {}
+    record ForwardResponse(int attempt) implements RequestAction {}
 
-    /** Answer the caller at once; coming back can help after {@code comeBackMillis}, or not at all if 0. */
-    record GiveUp(Verdict verdict, GiveUpReason reason, long comeBackMillis) implements RequestAction {}
+    /** Answer the caller at once; coming back can help after {@code retryAfterMillis}, or not at all if 0. */
+    record GiveUp(Verdict verdict, GiveUpReason reason, long retryAfterMillis) implements RequestAction {}
 }
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestEvent.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestEvent.java
@@ -22,13 +22,13 @@
     record Arrived() implements RequestEvent {}
 
     /** The store has answered the claim, or could not be asked. */
-    record ClaimAnswered(ClaimResult result) implements RequestEvent {}
+    record ClaimCompleted(ClaimResult result) implements RequestEvent {}
 
     /** A slot has been granted on a worker. */
     record SlotGranted(long grant, String worker) implements RequestEvent {}
 
-    /** No slot will be granted; coming back can help after {@code comeBackMillis}, or not at all if 0. */
-    record SlotRefused(GiveUpReason reason, long comeBackMillis) implements RequestEvent {}
+    /** No slot will be granted; coming back can help after {@code retryAfterMillis}, or not at all if 0. */
+    record SlotRefused(GiveUpReason reason, long retryAfterMillis) implements RequestEvent {}
 
     /** The attempt with this number has ended. */
     record AttemptEnded(int attempt, AttemptOutcome outcome) implements RequestEvent {}
@@ -37,7 +37,7 @@
     record DeadlinePassed() implements RequestEvent {}
 
     /** The caller has gone away. */
-    record CallerGone() implements RequestEvent {}
+    record CallerDisconnected() implements RequestEvent {}
 
     /** What became of a claim. */
     enum ClaimResult {
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestMachine.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestMachine.java
@@ -34,9 +34,9 @@
 public final class RequestMachine {
 
     // A job that fails on this many workers is the fault of the job, not of the workers.
-    private static final int MOST_FAILED_WORKERS = 3;
+    private static final int MAX_FAILED_WORKERS = 3;
     // Refusals and dead addresses cost little, yet a request must not wander for ever.
-    private static final int MOST_ATTEMPTS = 6;
+    private static final int MAX_ATTEMPTS = 6;
 
     private enum State {
         NEW,
@@ -53,9 +53,9 @@
     private State state = State.NEW;
     private Verdict verdict = Verdict.NOT_RUN;
     private boolean claimed;
-    private boolean asking;
+    private boolean slotRequested;
     private int attempt;
-    private int openAttempt;
+    private int pendingAttempt;
     private long grant;
     private String worker = "";
 
@@ -66,8 +66,8 @@
     }
 
     /** Returns whether the caller has its answer and no slot is held or asked for any more. */
-    public boolean isOver() {
-        return state == State.ANSWERED && openAttempt == 0 && !asking;
+    public boolean isFinished() {
+        return state == State.ANSWERED && pendingAttempt == 0 && !slotRequested;
     }
 
     /** Returns whether the caller has its answer. */
@@ -81,46 +81,46 @@
     }
 
     /** Takes an event at a time and returns what is to be done, in order. */
-    public List<RequestAction> on(RequestEvent event, long now) {
-        List<RequestAction> out = new ArrayList<>();
+    public List<RequestAction> onEvent(RequestEvent event, long now) {
+        List<RequestAction> actions = new ArrayList<>();
         if (event instanceof RequestEvent.Arrived) {
-            onArrived(now, out);
-        } else if (event instanceof RequestEvent.ClaimAnswered e) {
-            onClaim(e.result(), now, out);
+            onArrived(now, actions);
+        } else if (event instanceof RequestEvent.ClaimCompleted e) {
+            onClaimCompleted(e.result(), now, actions);
         } else if (event instanceof RequestEvent.SlotGranted e) {
-            onGranted(e.grant(), e.worker(), now, out);
+            onSlotGranted(e.grant(), e.worker(), now, actions);
         } else if (event instanceof RequestEvent.SlotRefused e) {
-            onSlotRefused(e, out);
+            onSlotRefused(e, actions);
         } else if (event instanceof RequestEvent.AttemptEnded e) {
-            onAttemptEnded(e, now, out);
+            onAttemptEnded(e, now, actions);
         } else if (event instanceof RequestEvent.DeadlinePassed) {
-            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.comeBackMillis(), out);
-        } else if (event instanceof RequestEvent.CallerGone) {
-            giveUp(GiveUpReason.CANCELLED, 0, out);
+            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.retryAfterMillis(), actions);
+        } else if (event instanceof RequestEvent.CallerDisconnected) {
+            giveUp(GiveUpReason.CANCELLED, 0, actions);
         }
-        return out;
+        return actions;
     }
 
-    private void onArrived(long now, List<RequestAction> out) {
+    private void onArrived(long now, List<RequestAction> actions) {
         if (state != State.NEW) {
             return;
         }
-        retries.onFresh();
+        retries.onNewRequest();
         if (now >= request.deadline()) {
-            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.comeBackMillis(), out);
-        } else if (request.needsClaim()) {
+            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.retryAfterMillis(), actions);
+        } else if (request.requiresClaim()) {
             state = State.CLAIMING;
-            out.add(new RequestAction.TakeClaim());
+            actions.add(new RequestAction.AcquireClaim());
         } else {
-            askSlot(out);
+            requestSlot(actions);
         }
     }
 
-    private void onClaim(ClaimResult result, long now, List<RequestAction> out) {
+    private void onClaimCompleted(ClaimResult result, long now, List<RequestAction> actions) {
         if (state != State.CLAIMING) {
             // The caller was answered while the store was asked: nothing was sent, so the claim is given back.
             if (result != ClaimResult.HELD) {
-                out.add(new RequestAction.SettleClaim());
+                actions.add(new RequestAction.MarkClaimNotRun());
             }
             return;
         }
@@ -128,128 +128,128 @@
             case WON -> {
                 claimed = true;
                 if (now >= request.deadline()) {
-                    giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.comeBackMillis(), out);
+                    giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.retryAfterMillis(), actions);
                 } else {
-                    askSlot(out);
+                    requestSlot(actions);
                 }
             }
             case HELD -> {
                 verdict = Verdict.MAY_HAVE_RUN;
-                giveUp(GiveUpReason.CLAIMED, 0, out);
+                giveUp(GiveUpReason.CLAIMED, 0, actions);
             }
             case UNKNOWN -> {
                 claimed = true;
-                giveUp(GiveUpReason.STORE_AWAY, GiveUpReason.STORE_AWAY.comeBackMillis(), out);
+                giveUp(GiveUpReason.STORE_AWAY, GiveUpReason.STORE_AWAY.retryAfterMillis(), actions);
             }
         }
     }
 
-    private void askSlot(List<RequestAction> out) {
+    private void requestSlot(List<RequestAction> actions) {
         state = State.WAITING;
-        asking = true;
-        out.add(new RequestAction.AskSlot(Set.copyOf(triedWorkers)));
+        slotRequested = true;
+        actions.add(new RequestAction.RequestSlot(Set.copyOf(triedWorkers)));
     }
 
-    private void onGranted(long newGrant, String newWorker, long now, List<RequestAction> out) {
-        asking = false;
+    private void onSlotGranted(long newGrant, String newWorker, long now, List<RequestAction> actions) {
+        slotRequested = false;
         if (state != State.WAITING) {
-            out.add(new RequestAction.ReleaseSlot(newGrant, newWorker, AttemptOutcome.UNUSED));
+            actions.add(new RequestAction.ReleaseSlot(newGrant, newWorker, AttemptOutcome.UNUSED));
             return;
         }
         if (now >= request.deadline()) {
-            out.add(new RequestAction.ReleaseSlot(newGrant, newWorker, AttemptOutcome.UNUSED));
-            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.comeBackMillis(), out);
+            actions.add(new RequestAction.ReleaseSlot(newGrant, newWorker, AttemptOutcome.UNUSED));
+            giveUp(GiveUpReason.EXPIRED, GiveUpReason.EXPIRED.retryAfterMillis(), actions);
             return;
         }
         state = State.SENDING;
         attempt++;
-        openAttempt = attempt;
+        pendingAttempt = attempt;
         grant = newGrant;
         worker = newWorker;
-        out.add(new RequestAction.Send(attempt, worker));
+        actions.add(new RequestAction.Send(attempt, worker));
     }
 
-    private void onSlotRefused(RequestEvent.SlotRefused e, List<RequestAction> out) {
-        asking = false;
+    private void onSlotRefused(RequestEvent.SlotRefused e, List<RequestAction> actions) {
+        slotRequested = false;
         if (state == State.WAITING) {
-            giveUp(e.reason(), e.comeBackMillis(), out);
+            giveUp(e.reason(), e.retryAfterMillis(), actions);
         }
     }
 
-    private void onAttemptEnded(RequestEvent.AttemptEnded e, long now, List<RequestAction> out) {
-        if (e.attempt() != openAttempt) {
+    private void onAttemptEnded(RequestEvent.AttemptEnded e, long now, List<RequestAction> actions) {
+        if (e.attempt() != pendingAttempt) {
             // A late word of an earlier attempt belongs to nobody.
             return;
         }
-        openAttempt = 0;
-        out.add(new RequestAction.ReleaseSlot(grant, worker, e.outcome()));
+        pendingAttempt = 0;
+        actions.add(new RequestAction.ReleaseSlot(grant, worker, e.outcome()));
         if (state != State.SENDING) {
             return;
         }
         verdict = verdict.and(e.outcome().verdict());
         triedWorkers.add(worker);
         switch (e.outcome()) {
-            case ANSWERED -> passAnswer(out);
-            case FAILED -> onFailed(now, out);
-            case BROKEN -> onBroken(now, out);
-            case NOT_SENT, REFUSED_FULL, REFUSED_LEAVING, UNUSED -> retryOr(GiveUpReason.NO_RETRY, now, out);
+            case ANSWERED -> forwardResponse(actions);
+            case FAILED -> onFailed(now, actions);
+            case BROKEN -> onBroken(now, actions);
+            case NOT_SENT, REFUSED_FULL, REFUSED_LEAVING, UNUSED -> retryOrGiveUp(GiveUpReason.NO_RETRY, now, actions);
         }
     }
 
-    private void onFailed(long now, List<RequestAction> out) {
+    private void onFailed(long now, List<RequestAction> actions) {
         failedWorkers.add(worker);
-        if (failedWorkers.size() >= MOST_FAILED_WORKERS) {
-            giveUp(GiveUpReason.CAN_NOT_RUN, 0, out);
+        if (failedWorkers.size() >= MAX_FAILED_WORKERS) {
+            giveUp(GiveUpReason.CAN_NOT_RUN, 0, actions);
         } else if (request.repeatable() && mayRetry(now)) {
-            askSlot(out);
+            requestSlot(actions);
         } else {
-            passAnswer(out);
+            forwardResponse(actions);
         }
     }
 
-    private void onBroken(long now, List<RequestAction> out) {
+    private void onBroken(long now, List<RequestAction> actions) {
         failedWorkers.add(worker);
-        if (failedWorkers.size() >= MOST_FAILED_WORKERS) {
-            giveUp(GiveUpReason.CAN_NOT_RUN, 0, out);
+        if (failedWorkers.size() >= MAX_FAILED_WORKERS) {
+            giveUp(GiveUpReason.CAN_NOT_RUN, 0, actions);
         } else if (request.repeatable()) {
-            retryOr(GiveUpReason.BROKEN, now, out);
+            retryOrGiveUp(GiveUpReason.BROKEN, now, actions);
         } else {
-            giveUp(GiveUpReason.BROKEN, 0, out);
+            giveUp(GiveUpReason.BROKEN, 0, actions);
         }
     }
 
-    private void retryOr(GiveUpReason reason, long now, List<RequestAction> out) {
+    private void retryOrGiveUp(GiveUpReason reason, long now, List<RequestAction> actions) {
         if (mayRetry(now)) {
-            askSlot(out);
+            requestSlot(actions);
         } else {
-            giveUp(reason, reason.comeBackMillis(), out);
+            giveUp(reason, reason.retryAfterMillis(), actions);
         }
     }
 
     private boolean mayRetry(long now) {
-        return now < request.deadline() && attempt < MOST_ATTEMPTS && retries.tryTake();
+        return now < request.deadline() && attempt < MAX_ATTEMPTS && retries.tryAcquire();
     }
 
-    private void passAnswer(List<RequestAction> out) {
+    private void forwardResponse(List<RequestAction> actions) {
         state = State.ANSWERED;
-        out.add(new RequestAction.PassAnswer(attempt));
+        actions.add(new RequestAction.ForwardResponse(attempt));
     }
 
-    private void giveUp(GiveUpReason reason, long comeBackMillis, List<RequestAction> out) {
+    private void giveUp(GiveUpReason reason, long retryAfterMillis, List<RequestAction> actions) {
         if (state == State.ANSWERED) {
             return;
         }
-        if (state == State.SENDING && openAttempt != 0) {
+        if (state == State.SENDING && pendingAttempt != 0) {
             verdict = verdict.and(Verdict.MAY_HAVE_RUN);
         }
         state = State.ANSWERED;
-        out.add(new RequestAction.GiveUp(verdict, reason, comeBackMillis));
-        if (asking) {
-            out.add(new RequestAction.CancelAsk());
-            asking = false;
+        actions.add(new RequestAction.GiveUp(verdict, reason, retryAfterMillis));
+        if (slotRequested) {
+            actions.add(new RequestAction.CancelSlotRequest());
+            slotRequested = false;
         }
         if (claimed && verdict == Verdict.NOT_RUN) {
-            out.add(new RequestAction.SettleClaim());
+            actions.add(new RequestAction.MarkClaimNotRun());
         }
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
@@ -22,19 +22,19 @@
  */
 public final class RetryBudget {
 
-    private static final double SHARE = 0.1;
+    private static final double TOKENS_PER_REQUEST = 0.1;
     // Enough that a single broken worker can be retried around on an idle entry.
-    private static final double MOST = 20;
+    private static final double MAX_TOKENS = 20;
 
-    private double tokens = MOST;
+    private double tokens = MAX_TOKENS;
 
     /** Notes a fresh request. */
-    public void onFresh() {
-        tokens = Math.min(MOST, tokens + SHARE);
+    public void onNewRequest() {
+        tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
     /** Takes a token if there is one. */
-    public boolean tryTake() {
+    public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
         }
--- a/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
+++ b/core/src/main/java/org/lupinpaddle/core/slot/SlotOwner.java
@@ -120,7 +120,7 @@
 
     private Optional<Refused> refusalFor(Ask ask, long now) {
         if (workers.values().stream().noneMatch(w -> w.info.usable())) {
-            return Optional.of(refused(ask, GiveUpReason.CUT_OFF, GiveUpReason.CUT_OFF.comeBackMillis()));
+            return Optional.of(refused(ask, GiveUpReason.CUT_OFF, GiveUpReason.CUT_OFF.retryAfterMillis()));
         }
         if (workers.values().stream().noneMatch(w -> w.info.memoryMb() >= ask.memoryMb())) {
             return Optional.of(refused(ask, GiveUpReason.TOO_LARGE, 0));
@@ -145,7 +145,7 @@
     // burst.
     private long retryAfterMillis(GiveUpReason reason) {
         long drainMillis = (long) expectedWaitMillis(queue.size(), 0);
-        long baseMillis = Math.max(reason.comeBackMillis(), Math.min(drainMillis, 60_000));
+        long baseMillis = Math.max(reason.retryAfterMillis(), Math.min(drainMillis, 60_000));
         return baseMillis + random.nextLong(baseMillis / 2 + 1);
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
@@ -29,20 +29,20 @@
     public static void main(String[] args) {
         System.out.println("| claims | histories of an unsafe job tried up to 4 times | it ran more than once |");
         System.out.println("|---|---|---|");
-        row("kept", null);
-        row("off", JobWorld.Off.NO_CLAIM);
+        printRow("kept", null);
+        printRow("off", JobSimulation.DisabledRule.NO_CLAIM);
     }
 
-    private static void row(String name, JobWorld.@Nullable Off off) {
-        int doubled = 0;
+    private static void printRow(String name, JobSimulation.@Nullable DisabledRule disabledRule) {
+        int repeated = 0;
         for (long seed = 0; seed < HISTORIES; seed++) {
-            JobWorld w = new JobWorld(seed, false, off);
+            JobSimulation w = new JobSimulation(seed, false, disabledRule);
             try {
                 w.run();
             } catch (AssertionError e) {
-                doubled += w.runs() > 1 ? 1 : 0;
+                repeated += w.runs() > 1 ? 1 : 0;
             }
         }
-        System.out.printf(Locale.ROOT, "| %s | %d | %d |%n", name, HISTORIES, doubled);
+        System.out.printf(Locale.ROOT, "| %s | %d | %d |%n", name, HISTORIES, repeated);
     }
 }
--- a/core/src/test/java/org/lupinpaddle/core/request/JobWorld.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/JobSimulation.java
@@ -31,10 +31,10 @@
  * lose what they like. Everything's order comes from a seed. A rule can be switched off, to see that the
  * check would notice.
  */
-final class JobWorld {
+final class JobSimulation {
 
     /** A rule of the product, switched off. */
-    enum Off {
+    enum DisabledRule {
         /** A broken connection is taken for one that was never made. */
         BROKEN_IS_NOT_SENT,
         /** The claim is not asked of the store. */
@@ -47,35 +47,35 @@
 
     private final Random random;
     private final boolean repeatable;
-    private final @Nullable Off off;
+    private final @Nullable DisabledRule disabledRule;
     private final RetryBudget retries = new RetryBudget();
-    private final List<Try> tries = new ArrayList<>();
+    private final List<SimulatedRequest> requests = new ArrayList<>();
     private final List<Runnable> pending = new ArrayList<>();
-    private @Nullable Try claimHolder;
+    private @Nullable SimulatedRequest claimHolder;
     private boolean claimNotRun;
     private int runs;
     private long now;
     private long grants;
 
-    JobWorld(long seed, boolean repeatable, @Nullable Off off) {
+    JobSimulation(long seed, boolean repeatable, @Nullable DisabledRule disabledRule) {
         this.random = new Random(seed);
         this.repeatable = repeatable;
-        this.off = off;
+        this.disabledRule = disabledRule;
     }
 
     /** One try of the caller at one entry. */
-    private final class Try {
+    private final class SimulatedRequest {
         private final RequestMachine machine;
-        private final Map<Long, Boolean> held = new HashMap<>();
+        private final Map<Long, Boolean> heldGrants = new HashMap<>();
         private @Nullable Verdict verdict;
         private int answers;
-        private int runsOfThis;
-        private boolean dead;
+        private int ownRuns;
+        private boolean crashed;
         private boolean answered;
 
-        private Try() {
+        private SimulatedRequest() {
             machine = new RequestMachine(
-                    CallerRequest.builder("r" + tries.size(), "bills")
+                    CallerRequest.builder("r" + requests.size(), "bills")
                             .urgency(Urgency.NORMAL)
                             .times(now, now + 200)
                             .repeatable(repeatable)
@@ -85,27 +85,27 @@
         }
 
         private void on(RequestEvent e) {
-            if (dead) {
+            if (crashed) {
                 return;
             }
-            for (RequestAction a : machine.on(e, now)) {
-                carryOut(a);
+            for (RequestAction a : machine.onEvent(e, now)) {
+                perform(a);
             }
         }
 
-        private void carryOut(RequestAction a) {
-            if (a instanceof RequestAction.TakeClaim) {
-                takeClaim();
-            } else if (a instanceof RequestAction.SettleClaim) {
-                pending.add(this::settle);
-            } else if (a instanceof RequestAction.AskSlot) {
-                pending.add(this::answerAsk);
+        private void perform(RequestAction a) {
+            if (a instanceof RequestAction.AcquireClaim) {
+                acquireClaim();
+            } else if (a instanceof RequestAction.MarkClaimNotRun) {
+                pending.add(this::markClaimNotRun);
+            } else if (a instanceof RequestAction.RequestSlot) {
+                pending.add(this::answerSlotRequest);
             } else if (a instanceof RequestAction.Send s) {
                 require(!answered, "sent after the caller was answered");
                 send(s.attempt());
             } else if (a instanceof RequestAction.ReleaseSlot r) {
-                require(held.remove(r.grant()) != null, "a slot was given back twice");
-            } else if (a instanceof RequestAction.PassAnswer) {
+                require(heldGrants.remove(r.grant()) != null, "a slot was given back twice");
+            } else if (a instanceof RequestAction.ForwardResponse) {
                 answer(Verdict.RAN);
             } else if (a instanceof RequestAction.GiveUp g) {
                 answer(g.verdict());
@@ -120,20 +120,20 @@
         }
 
         // The store may take the claim at once, later, never, or take it and lose the reply.
-        private void takeClaim() {
-            if (off == Off.NO_CLAIM) {
-                pending.add(() -> on(new RequestEvent.ClaimAnswered(ClaimResult.WON)));
+        private void acquireClaim() {
+            if (disabledRule == DisabledRule.NO_CLAIM) {
+                pending.add(() -> on(new RequestEvent.ClaimCompleted(ClaimResult.WON)));
                 return;
             }
-            ClaimResult lost = off == Off.LOST_CLAIM_IS_WON ? ClaimResult.WON : ClaimResult.UNKNOWN;
+            ClaimResult lost = disabledRule == DisabledRule.LOST_CLAIM_IS_WON ? ClaimResult.WON : ClaimResult.UNKNOWN;
             switch (random.nextInt(5)) {
-                case 0 -> pending.add(() -> on(new RequestEvent.ClaimAnswered(lost)));
+                case 0 -> pending.add(() -> on(new RequestEvent.ClaimCompleted(lost)));
                 case 1 -> {
                     // Given up on here, and landing in the store later all the same.
-                    pending.add(() -> on(new RequestEvent.ClaimAnswered(lost)));
+                    pending.add(() -> on(new RequestEvent.ClaimCompleted(lost)));
                     pending.add(this::claim);
                 }
-                default -> pending.add(() -> on(new RequestEvent.ClaimAnswered(claim())));
+                default -> pending.add(() -> on(new RequestEvent.ClaimCompleted(claim())));
             }
         }
 
@@ -145,21 +145,21 @@
             return claimHolder == this ? ClaimResult.WON : ClaimResult.HELD;
         }
 
-        private void settle() {
+        private void markClaimNotRun() {
             if (claimHolder == this) {
                 claimNotRun = true;
             }
         }
 
-        private void answerAsk() {
-            if (dead || machine.isAnswered() && random.nextBoolean()) {
+        private void answerSlotRequest() {
+            if (crashed || machine.isAnswered() && random.nextBoolean()) {
                 return;
             }
             if (random.nextInt(6) == 0) {
                 on(new RequestEvent.SlotRefused(GiveUpReason.SHED, 1_000));
             } else {
                 long g = ++grants;
-                held.put(g, true);
+                heldGrants.put(g, true);
                 on(new RequestEvent.SlotGranted(g, "w" + random.nextInt(WORKERS)));
             }
         }
@@ -171,7 +171,11 @@
                 case 2 -> end(attempt, AttemptOutcome.REFUSED_LEAVING);
                 case 3 -> {
                     // Broken off, and run by the worker all the same, perhaps much later.
-                    end(attempt, off == Off.BROKEN_IS_NOT_SENT ? AttemptOutcome.NOT_SENT : AttemptOutcome.BROKEN);
+                    end(
+                            attempt,
+                            disabledRule == DisabledRule.BROKEN_IS_NOT_SENT
+                                    ? AttemptOutcome.NOT_SENT
+                                    : AttemptOutcome.BROKEN);
                     pending.add(this::run);
                 }
                 case 4 ->
@@ -189,7 +193,7 @@
 
         private void run() {
             runs++;
-            runsOfThis++;
+            ownRuns++;
         }
 
         private void end(int attempt, AttemptOutcome outcome) {
@@ -201,9 +205,9 @@
         }
     }
 
-    private void require(boolean good, String what) {
-        if (!good) {
-            throw new AssertionError(what);
+    private void require(boolean condition, String message) {
+        if (!condition) {
+            throw new AssertionError(message);
         }
     }
 
@@ -211,31 +215,31 @@
     void run() {
         for (int i = 0; i < 200; i++) {
             now += random.nextInt(10);
-            if (tries.size() < 4 && random.nextInt(15) == 0) {
-                Try t = new Try();
-                tries.add(t);
+            if (requests.size() < 4 && random.nextInt(15) == 0) {
+                SimulatedRequest t = new SimulatedRequest();
+                requests.add(t);
                 t.on(new RequestEvent.Arrived());
             }
             if (!pending.isEmpty()) {
                 pending.remove(random.nextInt(pending.size())).run();
             }
-            disturb();
+            injectFault();
         }
-        tries.forEach(t -> t.on(new RequestEvent.DeadlinePassed()));
+        requests.forEach(t -> t.on(new RequestEvent.DeadlinePassed()));
         while (!pending.isEmpty()) {
             pending.remove(0).run();
         }
         check();
     }
 
-    private void disturb() {
-        if (tries.isEmpty()) {
+    private void injectFault() {
+        if (requests.isEmpty()) {
             return;
         }
-        Try t = tries.get(random.nextInt(tries.size()));
+        SimulatedRequest t = requests.get(random.nextInt(requests.size()));
         switch (random.nextInt(40)) {
-            case 0 -> t.dead = true;
-            case 1 -> t.on(new RequestEvent.CallerGone());
+            case 0 -> t.crashed = true;
+            case 1 -> t.on(new RequestEvent.CallerDisconnected());
             case 2 -> t.on(new RequestEvent.DeadlinePassed());
             default -> {}
         }
@@ -243,11 +247,11 @@
 
     private void check() {
         require(repeatable || runs <= 1, "an unsafe job ran " + runs + " times");
-        for (Try t : tries) {
-            require(t.dead || t.answers == 1, "a caller was answered " + t.answers + " times");
-            require(t.verdict != Verdict.NOT_RUN || t.runsOfThis == 0, "\"not run\" was said of a job that ran");
-            require(t.dead || t.held.isEmpty(), "a slot was never given back");
-            require(t.dead || t.machine.isOver(), "a request never ended");
+        for (SimulatedRequest t : requests) {
+            require(t.crashed || t.answers == 1, "a caller was answered " + t.answers + " times");
+            require(t.verdict != Verdict.NOT_RUN || t.ownRuns == 0, "\"not run\" was said of a job that ran");
+            require(t.crashed || t.heldGrants.isEmpty(), "a slot was never given back");
+            require(t.crashed || t.machine.isFinished(), "a request never ended");
         }
     }
 
@@ -258,7 +262,7 @@
 
     /** Returns the verdicts that callers got. */
     Set<Verdict> verdicts() {
-        return tries.stream()
+        return requests.stream()
                 .map(t -> t.verdict)
                 .filter(java.util.Objects::nonNull)
                 .collect(java.util.stream.Collectors.toSet());
--- a/core/src/test/java/org/lupinpaddle/core/request/RequestMachineProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/RequestMachineProperties.java
@@ -30,7 +30,7 @@
 import net.jqwik.api.Provide;
 import net.jqwik.api.ShrinkingMode;
 import org.lupinpaddle.core.common.Verdict;
-import org.lupinpaddle.core.request.JobWorld.Off;
+import org.lupinpaddle.core.request.JobSimulation.DisabledRule;
 
 /** Requests under lost replies, kills, cancellations and races, whatever their order. */
 class RequestMachineProperties {
@@ -40,19 +40,19 @@
 
         @Property(seed = "21", tries = 20_000, shrinking = ShrinkingMode.OFF)
         void anUnsafeJobRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
-            new JobWorld(seed, false, null).run();
+            new JobSimulation(seed, false, null).run();
         }
 
         @Property(seed = "22", tries = 20_000, shrinking = ShrinkingMode.OFF)
         void aRepeatableJobIsAnsweredOnceAndNotRunIsTrue(@ForAll long seed) {
-            new JobWorld(seed, true, null).run();
+            new JobSimulation(seed, true, null).run();
         }
 
         @Example
         void everyVerdictIsReached() {
             Set<Verdict> seen = EnumSet.noneOf(Verdict.class);
             for (long seed = 0; seed < 200; seed++) {
-                JobWorld w = new JobWorld(seed, false, null);
+                JobSimulation w = new JobSimulation(seed, false, null);
                 w.run();
                 seen.addAll(w.verdicts());
             }
@@ -64,10 +64,10 @@
     @Group
     class Noticing {
 
-        private boolean isNoticed(Off off) {
+        private boolean isNoticed(DisabledRule disabledRule) {
             for (long seed = 0; seed < 2_000; seed++) {
                 try {
-                    new JobWorld(seed, false, off).run();
+                    new JobSimulation(seed, false, disabledRule).run();
                 } catch (AssertionError e) {
                     return true;
                 }
@@ -77,17 +77,17 @@
 
         @Example
         void aBrokenConnectionTakenForNoneAtAll() {
-            assertTrue(isNoticed(Off.BROKEN_IS_NOT_SENT));
+            assertTrue(isNoticed(DisabledRule.BROKEN_IS_NOT_SENT));
         }
 
         @Example
         void noClaims() {
-            assertTrue(isNoticed(Off.NO_CLAIM));
+            assertTrue(isNoticed(DisabledRule.NO_CLAIM));
         }
 
         @Example
         void aLostClaimTakenForOurs() {
-            assertTrue(isNoticed(Off.LOST_CLAIM_IS_WON));
+            assertTrue(isNoticed(DisabledRule.LOST_CLAIM_IS_WON));
         }
     }
 
@@ -99,14 +99,14 @@
         Arbitrary<List<RequestEvent>> events() {
             Arbitrary<RequestEvent> one = Arbitraries.oneOf(
                     Arbitraries.just(new RequestEvent.Arrived()),
-                    Arbitraries.of(RequestEvent.ClaimResult.class).map(RequestEvent.ClaimAnswered::new),
+                    Arbitraries.of(RequestEvent.ClaimResult.class).map(RequestEvent.ClaimCompleted::new),
                     Arbitraries.longs().between(1, 5).map(g -> new RequestEvent.SlotGranted(g, "w" + g % 3)),
-                    Arbitraries.of(GiveUpReason.class).map(r -> new RequestEvent.SlotRefused(r, r.comeBackMillis())),
+                    Arbitraries.of(GiveUpReason.class).map(r -> new RequestEvent.SlotRefused(r, r.retryAfterMillis())),
                     Arbitraries.of(AttemptOutcome.class)
                             .flatMap(o ->
                                     Arbitraries.integers().between(0, 4).map(a -> new RequestEvent.AttemptEnded(a, o))),
                     Arbitraries.just(new RequestEvent.DeadlinePassed()),
-                    Arbitraries.just(new RequestEvent.CallerGone()));
+                    Arbitraries.just(new RequestEvent.CallerDisconnected()));
             return one.list().ofMaxSize(25);
         }
 
@@ -117,12 +117,12 @@
             RequestMachine m = new RequestMachine(r, new RetryBudget());
             int answers = 0;
             for (RequestEvent e : events) {
-                for (RequestAction a : m.on(e, 1)) {
+                for (RequestAction a : m.onEvent(e, 1)) {
                     boolean sends = a instanceof RequestAction.Send
-                            || a instanceof RequestAction.AskSlot
-                            || a instanceof RequestAction.TakeClaim;
+                            || a instanceof RequestAction.RequestSlot
+                            || a instanceof RequestAction.AcquireClaim;
                     assertTrue(answers == 0 || !sends, "work begun after the answer");
-                    answers += a instanceof RequestAction.PassAnswer || a instanceof RequestAction.GiveUp ? 1 : 0;
+                    answers += a instanceof RequestAction.ForwardResponse || a instanceof RequestAction.GiveUp ? 1 : 0;
                 }
             }
             assertTrue(answers <= 1, "answered " + answers + " times");
--- a/core/src/test/java/org/lupinpaddle/core/request/RequestMachineTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/RequestMachineTest.java
@@ -32,7 +32,7 @@
                 .repeatable(repeatable)
                 .build();
         RequestMachine m = new RequestMachine(r, new RetryBudget());
-        m.on(new RequestEvent.Arrived(), 0);
+        m.onEvent(new RequestEvent.Arrived(), 0);
         return m;
     }
 
@@ -50,30 +50,30 @@
         @Test
         void isAnsweredAtOnceWithAVerdictWhileWaiting() {
             RequestMachine m = machine(false);
-            List<RequestAction> a = m.on(new RequestEvent.CallerGone(), 5);
+            List<RequestAction> a = m.onEvent(new RequestEvent.CallerDisconnected(), 5);
             assertEquals(Verdict.NOT_RUN, gaveUp(a).verdict());
-            assertTrue(a.contains(new RequestAction.CancelAsk()));
-            assertTrue(m.isOver());
+            assertTrue(a.contains(new RequestAction.CancelSlotRequest()));
+            assertTrue(m.isFinished());
         }
 
         @Test
         void keepsTheSlotOfARequestThatIsOutUntilTheWorkerIsDone() {
             RequestMachine m = machine(false);
-            m.on(new RequestEvent.SlotGranted(7, "w"), 1);
-            List<RequestAction> a = m.on(new RequestEvent.CallerGone(), 5);
+            m.onEvent(new RequestEvent.SlotGranted(7, "w"), 1);
+            List<RequestAction> a = m.onEvent(new RequestEvent.CallerDisconnected(), 5);
             assertEquals(Verdict.MAY_HAVE_RUN, gaveUp(a).verdict());
-            assertFalse(m.isOver(), "the worker may still be busy");
-            List<RequestAction> end = m.on(new RequestEvent.AttemptEnded(1, AttemptOutcome.ANSWERED), 9);
+            assertFalse(m.isFinished(), "the worker may still be busy");
+            List<RequestAction> end = m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.ANSWERED), 9);
             assertEquals(List.of(new RequestAction.ReleaseSlot(7, "w", AttemptOutcome.ANSWERED)), end);
-            assertTrue(m.isOver());
+            assertTrue(m.isFinished());
         }
 
         @Test
         void saysWhenToComeBackAfterItsDeadline() {
             RequestMachine m = machine(false);
-            RequestAction.GiveUp g = gaveUp(m.on(new RequestEvent.DeadlinePassed(), 1_000));
+            RequestAction.GiveUp g = gaveUp(m.onEvent(new RequestEvent.DeadlinePassed(), 1_000));
             assertEquals(GiveUpReason.EXPIRED, g.reason());
-            assertTrue(g.comeBackMillis() > 0);
+            assertTrue(g.retryAfterMillis() > 0);
         }
     }
 
@@ -83,11 +83,11 @@
         @Test
         void sendsAnUnsafeRequestAgainOnlyAfterNotRun() {
             RequestMachine m = machine(false);
-            m.on(new RequestEvent.SlotGranted(1, "w1"), 1);
-            List<RequestAction> again = m.on(new RequestEvent.AttemptEnded(1, AttemptOutcome.REFUSED_LEAVING), 2);
-            assertTrue(again.stream().anyMatch(a -> a instanceof RequestAction.AskSlot));
-            m.on(new RequestEvent.SlotGranted(2, "w2"), 3);
-            List<RequestAction> broken = m.on(new RequestEvent.AttemptEnded(2, AttemptOutcome.BROKEN), 4);
+            m.onEvent(new RequestEvent.SlotGranted(1, "w1"), 1);
+            List<RequestAction> again = m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.REFUSED_LEAVING), 2);
+            assertTrue(again.stream().anyMatch(a -> a instanceof RequestAction.RequestSlot));
+            m.onEvent(new RequestEvent.SlotGranted(2, "w2"), 3);
+            List<RequestAction> broken = m.onEvent(new RequestEvent.AttemptEnded(2, AttemptOutcome.BROKEN), 4);
             assertEquals(Verdict.MAY_HAVE_RUN, gaveUp(broken).verdict());
         }
 
@@ -95,18 +95,18 @@
         void endsAJobThatFailsOnThreeWorkers() {
             RequestMachine m = machine(true);
             for (int i = 1; i <= 2; i++) {
-                m.on(new RequestEvent.SlotGranted(i, "w" + i), i);
-                m.on(new RequestEvent.AttemptEnded(i, AttemptOutcome.FAILED), i);
+                m.onEvent(new RequestEvent.SlotGranted(i, "w" + i), i);
+                m.onEvent(new RequestEvent.AttemptEnded(i, AttemptOutcome.FAILED), i);
             }
-            m.on(new RequestEvent.SlotGranted(3, "w3"), 3);
-            List<RequestAction> end = m.on(new RequestEvent.AttemptEnded(3, AttemptOutcome.FAILED), 3);
+            m.onEvent(new RequestEvent.SlotGranted(3, "w3"), 3);
+            List<RequestAction> end = m.onEvent(new RequestEvent.AttemptEnded(3, AttemptOutcome.FAILED), 3);
             assertEquals(GiveUpReason.CAN_NOT_RUN, gaveUp(end).reason());
         }
 
         @Test
         void stopsWhenTheBudgetIsSpent() {
             RetryBudget b = new RetryBudget();
-            while (b.tryTake()) {
+            while (b.tryAcquire()) {
                 // Others have used it up.
             }
             RequestMachine m = new RequestMachine(
@@ -115,9 +115,9 @@
                             .repeatable(true)
                             .build(),
                     b);
-            m.on(new RequestEvent.Arrived(), 0);
-            m.on(new RequestEvent.SlotGranted(1, "w"), 1);
-            List<RequestAction> a = m.on(new RequestEvent.AttemptEnded(1, AttemptOutcome.NOT_SENT), 2);
+            m.onEvent(new RequestEvent.Arrived(), 0);
+            m.onEvent(new RequestEvent.SlotGranted(1, "w"), 1);
+            List<RequestAction> a = m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.NOT_SENT), 2);
             assertEquals(GiveUpReason.NO_RETRY, gaveUp(a).reason());
             assertEquals(Verdict.NOT_RUN, gaveUp(a).verdict());
         }
@@ -129,12 +129,12 @@
         @Test
         void ofAnEarlierAttemptBelongToNobody() {
             RequestMachine m = machine(true);
-            m.on(new RequestEvent.SlotGranted(1, "w1"), 1);
-            m.on(new RequestEvent.AttemptEnded(1, AttemptOutcome.BROKEN), 2);
-            m.on(new RequestEvent.SlotGranted(2, "w2"), 3);
-            assertEquals(List.of(), m.on(new RequestEvent.AttemptEnded(1, AttemptOutcome.ANSWERED), 4));
-            assertTrue(m.on(new RequestEvent.AttemptEnded(2, AttemptOutcome.ANSWERED), 5)
-                    .contains(new RequestAction.PassAnswer(2)));
+            m.onEvent(new RequestEvent.SlotGranted(1, "w1"), 1);
+            m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.BROKEN), 2);
+            m.onEvent(new RequestEvent.SlotGranted(2, "w2"), 3);
+            assertEquals(List.of(), m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.ANSWERED), 4));
+            assertTrue(m.onEvent(new RequestEvent.AttemptEnded(2, AttemptOutcome.ANSWERED), 5)
+                    .contains(new RequestAction.ForwardResponse(2)));
         }
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
@@ -170,9 +170,9 @@
 
     private void giveUp(CallerReply reply, GiveUpReason reason) {
         HttpFields.Mutable h = verdict(reason.wireName());
-        if (reason.comeBackMillis() > 0) {
-            h.put("Retry-After", Long.toString((reason.comeBackMillis() + 999) / 1_000));
-            h.put(CallerHeaders.COME_BACK, Long.toString(reason.comeBackMillis()));
+        if (reason.retryAfterMillis() > 0) {
+            h.put("Retry-After", Long.toString((reason.retryAfterMillis() + 999) / 1_000));
+            h.put(CallerHeaders.COME_BACK, Long.toString(reason.retryAfterMillis()));
         }
         services.metrics().counter("requests." + reason.wireName()).inc();
         reply.answer(reason.status(), h, new byte[0]);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestRun.java
@@ -105,7 +105,7 @@
     }
 
     void cancel() {
-        on(new RequestEvent.CallerGone());
+        on(new RequestEvent.CallerDisconnected());
     }
 
     // An action can cause the next event at once: events are taken in turn, not nested.
@@ -117,32 +117,33 @@
         running = true;
         try {
             for (RequestEvent e = events.poll(); e != null; e = events.poll()) {
-                for (RequestAction a : machine.on(e, services.loop().clock().millis())) {
+                for (RequestAction a :
+                        machine.onEvent(e, services.loop().clock().millis())) {
                     carryOut(a);
                 }
             }
         } finally {
             running = false;
         }
-        if (machine.isOver()) {
+        if (machine.isFinished()) {
             onOver.run();
         }
     }
 
     private void carryOut(RequestAction action) {
-        if (action instanceof RequestAction.TakeClaim) {
+        if (action instanceof RequestAction.AcquireClaim) {
             takeClaim();
-        } else if (action instanceof RequestAction.SettleClaim) {
+        } else if (action instanceof RequestAction.MarkClaimNotRun) {
             services.claims().release(request.service(), jobId(), claimId);
-        } else if (action instanceof RequestAction.AskSlot a) {
+        } else if (action instanceof RequestAction.RequestSlot a) {
             askSlot(a);
-        } else if (action instanceof RequestAction.CancelAsk) {
+        } else if (action instanceof RequestAction.CancelSlotRequest) {
             services.slots().cancel(openAsk);
         } else if (action instanceof RequestAction.Send a) {
             services.config().whenFresh(() -> send(a));
         } else if (action instanceof RequestAction.ReleaseSlot a) {
             services.slots().release(request.service(), new Grant(a.grant(), a.worker()), a.outcome());
-        } else if (action instanceof RequestAction.PassAnswer) {
+        } else if (action instanceof RequestAction.ForwardResponse) {
             passAnswer();
         } else if (action instanceof RequestAction.GiveUp a) {
             giveUp(a);
@@ -158,11 +159,11 @@
         services.claims().acquire(request.service(), jobId(), claimId, result -> {
             hop.setAttribute("claim.result", result.name());
             hop.end();
-            on(new RequestEvent.ClaimAnswered(result));
+            on(new RequestEvent.ClaimCompleted(result));
         });
     }
 
-    private void askSlot(RequestAction.AskSlot a) {
+    private void askSlot(RequestAction.RequestSlot a) {
         Span hop = services.traces().hop(span, request.id(), "slot", SpanKind.INTERNAL);
         waitSpan = hop;
         SlotClient.SlotRequest need = new SlotClient.SlotRequest(
@@ -170,7 +171,7 @@
                 request.urgency(),
                 request.arrival(),
                 request.deadline(),
-                a.avoid(),
+                a.excludedWorkers(),
                 request.memoryMb());
         openAsk = services.slots().ask(need, r -> {
             hop.end();
@@ -253,15 +254,15 @@
     }
 
     private void giveUp(RequestAction.GiveUp a) {
-        finish(a.verdict(), a.reason().wireName(), a.comeBackMillis());
+        finish(a.verdict(), a.reason().wireName(), a.retryAfterMillis());
         HttpFields.Mutable out = HttpFields.build();
         out.put(CallerHeaders.VERDICT, a.verdict().wireName());
         out.put(CallerHeaders.REASON, a.reason().wireName());
         out.put(CallerHeaders.REQUEST_ID, request.id());
-        if (a.comeBackMillis() > 0) {
-            long seconds = TimeUnit.MILLISECONDS.toSeconds(a.comeBackMillis() + 999);
+        if (a.retryAfterMillis() > 0) {
+            long seconds = TimeUnit.MILLISECONDS.toSeconds(a.retryAfterMillis() + 999);
             out.put(HttpHeader.RETRY_AFTER, Long.toString(seconds));
-            out.put(CallerHeaders.COME_BACK, Long.toString(a.comeBackMillis()));
+            out.put(CallerHeaders.COME_BACK, Long.toString(a.retryAfterMillis()));
         }
         reply.answer(a.reason().status(), out, new byte[0]);
         if (attempt != null) {
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimEntry.java
@@ -96,28 +96,28 @@
             if (dead) {
                 return;
             }
-            machine.on(e, fleet.time.now()).forEach(this::execute);
+            machine.onEvent(e, fleet.time.now()).forEach(this::execute);
         }
 
         private void execute(RequestAction a) {
-            if (a instanceof RequestAction.AskSlot s) {
+            if (a instanceof RequestAction.RequestSlot s) {
                 askedAt = fleet.time.now();
                 askSlot(s);
-            } else if (a instanceof RequestAction.CancelAsk) {
+            } else if (a instanceof RequestAction.CancelSlotRequest) {
                 queue.remove(this);
                 route(desk.cancel(ask));
             } else if (a instanceof RequestAction.Send s) {
                 send(s);
             } else if (a instanceof RequestAction.ReleaseSlot r) {
                 release(r);
-            } else if (a instanceof RequestAction.PassAnswer) {
+            } else if (a instanceof RequestAction.ForwardResponse) {
                 fleet.onAnswer(job, attempts, !lastFailed);
             } else if (a instanceof RequestAction.GiveUp g) {
                 fleet.onGiveUp(job, attempts, g);
             }
         }
 
-        private void askSlot(RequestAction.AskSlot s) {
+        private void askSlot(RequestAction.RequestSlot s) {
             if (fleet.policy == SimPolicy.TWO_CHOICES) {
                 if (queue.size() >= job.urgency.queuePlaces(QUEUE_CAPACITY)) {
                     fleet.time.after(0, () -> onEvent(new RequestEvent.SlotRefused(GiveUpReason.SHED, 2_000)));
@@ -130,7 +130,7 @@
             List<Outgoing> out = new ArrayList<>();
             ask = desk.ask(
                     new SlotClient.SlotRequest(
-                            SERVICE, job.urgency, request.arrival(), request.deadline(), s.avoid(), 0),
+                            SERVICE, job.urgency, request.arrival(), request.deadline(), s.excludedWorkers(), 0),
                     fleet.time.now(),
                     out);
             pendingAsks.put(ask, this);
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimFleet.java
@@ -131,8 +131,8 @@
     void onGiveUp(SimJob job, int attempts, RequestAction.GiveUp giveUp) {
         if (job.poison) {
             statistics.poisonAttempts.recordValue(Math.max(1, attempts));
-        } else if (giveUp.comeBackMillis() > 0 && job.tries < MAX_TRIES) {
-            time.after(giveUp.comeBackMillis(), () -> attempt(job));
+        } else if (giveUp.retryAfterMillis() > 0 && job.tries < MAX_TRIES) {
+            time.after(giveUp.retryAfterMillis(), () -> attempt(job));
         } else {
             statistics.failedForCaller++;
         }
