--- a/core/src/main/java/org/lupinpaddle/core/request/AttemptOutcome.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/AttemptOutcome.java
@@ -17,21 +17,21 @@
 
 import org.lupinpaddle.core.common.Verdict;
 
-/** How one attempt at a worker ended, with the verdict that follows from it. */
+/** The outcome of one attempt to run a request on a worker, with the verdict that follows from it. */
 public enum AttemptOutcome {
-    /** The worker answered, and not with a server error. */
+    /** The worker sent a response other than a server error. */
     ANSWERED(Verdict.RAN, false),
-    /** The worker answered with a server error. */
+    /** The worker sent a server error. */
     FAILED(Verdict.RAN, true),
-    /** The connection broke after a byte may have gone out. */
+    /** The connection broke after part of the request may have been sent. */
     BROKEN(Verdict.MAY_HAVE_RUN, true),
-    /** No connection, so no byte went out. */
+    /** The connection could not be opened, so no byte was sent. */
     NOT_SENT(Verdict.NOT_RUN, true),
-    /** The worker refused in the agreed way since all its slots are taken. */
+    /** The worker refused the request by protocol because all its slots are taken. */
     REFUSED_FULL(Verdict.NOT_RUN, false),
-    /** The worker refused in the agreed way since it is leaving. */
+    /** The worker refused the request by protocol because it is shutting down. */
     REFUSED_LEAVING(Verdict.NOT_RUN, false),
-    /** The grant was not used: the caller was gone or the entry knew better. */
+    /** The grant was not used, because the caller had disconnected or the entry no longer wanted the worker. */
     UNUSED(Verdict.NOT_RUN, false);
 
     private final Verdict verdict;
@@ -42,12 +42,12 @@
         this.countsAgainstWorker = countsAgainstWorker;
     }
 
-    /** Returns what the outcome says about whether the request ran. */
+    /** Returns whether the request ran, as far as the outcome shows. */
     public Verdict verdict() {
         return verdict;
     }
 
-    /** Returns whether the outcome speaks against the worker. */
+    /** Returns whether the outcome counts as a failure of the worker. */
     public boolean countsAgainstWorker() {
         return countsAgainstWorker;
     }
--- a/core/src/main/java/org/lupinpaddle/core/request/CallerRequest.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/CallerRequest.java
@@ -19,16 +19,16 @@
 import org.lupinpaddle.core.common.Urgency;
 
 /**
- * What a caller states about its request, without the body.
+ * The metadata of a caller's request, without the body.
  *
- * @param id the id of this try, unique among all entries
- * @param service the service that is to run it
- * @param urgency its class
- * @param arrival when it came, in milliseconds of the entry's clock
- * @param deadline when its answer is of no more use, in milliseconds of the entry's clock
- * @param repeatable whether running it twice does no harm
- * @param jobId the caller's own id of the work, the same in each of the caller's tries, or null
- * @param memoryMb the memory it declares to need, in megabytes; 0 where it declares none
+ * @param id the id of this request, unique among all entries
+ * @param service the service whose workers run it
+ * @param urgency its urgency class
+ * @param arrival the arrival time, in milliseconds of the entry's clock
+ * @param deadline the time after which a response is of no use, in milliseconds of the entry's clock
+ * @param repeatable whether it may safely run more than once
+ * @param jobId the caller's id of the job, the same for each request that retries it; null if there is none
+ * @param memoryMb the declared memory need, in megabytes; 0 if none is declared
  */
 public record CallerRequest(
         String id,
@@ -40,7 +40,7 @@
         @Nullable String jobId,
         int memoryMb) {
 
-    /** Returns whether a claim in the store must come before the request is sent. */
+    /** Returns whether a claim in the store must be acquired before the request is sent to a worker. */
     public boolean requiresClaim() {
         return !repeatable && jobId != null;
     }
@@ -66,7 +66,7 @@
             this.service = service;
         }
 
-        /** Sets the class of work. */
+        /** Sets the urgency class. */
         public Builder urgency(Urgency u) {
             this.urgency = u;
             return this;
@@ -79,13 +79,13 @@
             return this;
         }
 
-        /** Sets whether running it twice does no harm. */
+        /** Sets whether the request may safely run more than once. */
         public Builder repeatable(boolean r) {
             this.repeatable = r;
             return this;
         }
 
-        /** Sets the caller's id of the work. */
+        /** Sets the caller's id of the job. */
         public Builder jobId(@Nullable String j) {
             this.jobId = j;
             return this;
--- a/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
@@ -15,33 +15,33 @@
  */
 package org.lupinpaddle.core.request;
 
-/** Why a request got no answer of a worker, with the HTTP status that carries it. */
+/** The reason why a request is answered without a worker's response, with the HTTP status for it. */
 public enum GiveUpReason {
-    /** The entry has no configuration yet, or is leaving. */
+    /** The entry has no configuration yet, or is shutting down. */
     NOT_SERVING("not-serving", 503, 1_000),
     /** No service has this name. */
     UNKNOWN_SERVICE("unknown-service", 404, 0),
     /** The queue is full. */
     SHED("shed", 503, 2_000),
-    /** By what is known now it would not start before its deadline. */
+    /** The request is not expected to start before its deadline. */
     HOPELESS("hopeless", 503, 5_000),
-    /** No worker of the service can be reached from here. */
+    /** The entry can reach no worker of the service. */
     CUT_OFF("cut-disabledRule", 503, 3_000),
-    /** No worker is large enough for what it declares. */
+    /** No worker is large enough for the declared memory need. */
     TOO_LARGE("too-large", 422, 0),
-    /** It failed on several workers that serve other work well. */
+    /** The request failed on several workers that run other requests successfully. */
     CAN_NOT_RUN("can-not-run", 422, 0),
-    /** Its deadline passed. */
+    /** The deadline passed. */
     EXPIRED("expired", 504, 1_000),
-    /** The caller went away. */
+    /** The caller disconnected. */
     CANCELLED("cancelled", 499, 0),
-    /** The platform's store is away, so the claim that an unsafe job needs can not be taken. */
+    /** The platform's store is unavailable, so the claim for a job that must not run twice cannot be acquired. */
     STORE_AWAY("store-away", 503, 5_000),
-    /** Another try with the same job id holds the claim. */
+    /** Another request with the same job id holds the claim. */
     CLAIMED("claimed", 409, 0),
-    /** Workers refused or failed it and the retry budget is spent. */
+    /** Workers refused or failed the request, and no retry is allowed within the budget. */
     NO_RETRY("no-retry", 503, 2_000),
-    /** The connection to the worker broke after it may have started. */
+    /** The connection to the worker broke after the request may have started. */
     BROKEN("broken", 502, 0);
 
     private final String wireName;
@@ -64,7 +64,7 @@
         return status;
     }
 
-    /** Returns when coming back can help, in milliseconds from now; 0 where it can not. */
+    /** Returns the delay after which the caller may retry, in milliseconds; 0 if a retry cannot succeed. */
     public long retryAfterMillis() {
         return retryAfterMillis;
     }
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestAction.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestAction.java
@@ -18,30 +18,30 @@
 import java.util.Set;
 import org.lupinpaddle.core.common.Verdict;
 
-/** What the entry is to do for a request. */
+/** An action that the entry must perform for a request. */
 public sealed interface RequestAction {
 
-    /** Take the claim on the job in the store. */
+    /** Acquires the claim on the job in the store. */
     record AcquireClaim() implements RequestAction {}
 
-    /** Mark our claim as not run, since nothing was sent and nothing will be. */
+    /** Marks this request's claim as not run, because nothing was sent to a worker or ever will be. */
     record MarkClaimNotRun() implements RequestAction {}
 
-    /** Ask for a slot, on none of these workers if there is another. */
+    /** Requests a slot, preferably on none of the excluded workers. */
     record RequestSlot(Set<String> excludedWorkers) implements RequestAction {}
 
-    /** Take back the ask for a slot. */
+    /** Cancels the open request for a slot. */
     record CancelSlotRequest() implements RequestAction {}
 
-    /** Send the request to the worker. */
+    /** Sends the request to the worker. */
     record Send(int attempt, String worker) implements RequestAction {}
 
-    /** Give the grant back with what was seen of the worker. */
+    /** Releases the grant and reports the outcome of the attempt on the worker. */
     record ReleaseSlot(long grant, String worker, AttemptOutcome outcome) implements RequestAction {}
 
-    /** Pass the worker's answer to this attempt on to the caller. */
+    /** Forwards the worker's response to this attempt to the caller. */
     record ForwardResponse(int attempt) implements RequestAction {}
 
-    /** Answer the caller at once; coming back can help after {@code retryAfterMillis}, or not at all if 0. */
+    /** Answers the caller without a response; a retry may succeed after {@code retryAfterMillis}, or never if 0. */
     record GiveUp(Verdict verdict, GiveUpReason reason, long retryAfterMillis) implements RequestAction {}
 }
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestEvent.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestEvent.java
@@ -15,19 +15,19 @@
  */
 package org.lupinpaddle.core.request;
 
-/** What can happen to a request. */
+/** An event in the lifecycle of a request. */
 public sealed interface RequestEvent {
 
-    /** The request has come in whole. */
+    /** The request has been received completely. */
     record Arrived() implements RequestEvent {}
 
-    /** The store has answered the claim, or could not be asked. */
+    /** The attempt to acquire the claim has ended, with or without an answer of the store. */
     record ClaimCompleted(ClaimResult result) implements RequestEvent {}
 
     /** A slot has been granted on a worker. */
     record SlotGranted(long grant, String worker) implements RequestEvent {}
 
-    /** No slot will be granted; coming back can help after {@code retryAfterMillis}, or not at all if 0. */
+    /** No slot will be granted; a retry may succeed after {@code retryAfterMillis}, or never if 0. */
     record SlotRefused(GiveUpReason reason, long retryAfterMillis) implements RequestEvent {}
 
     /** The attempt with this number has ended. */
@@ -36,16 +36,16 @@
     /** The deadline has passed. */
     record DeadlinePassed() implements RequestEvent {}
 
-    /** The caller has gone away. */
+    /** The caller has disconnected. */
     record CallerDisconnected() implements RequestEvent {}
 
-    /** What became of a claim. */
+    /** The result of an attempt to acquire a claim. */
     enum ClaimResult {
-        /** The claim is ours. */
+        /** This request holds the claim. */
         WON,
-        /** Another try holds it. */
+        /** Another request holds the claim. */
         HELD,
-        /** The store is away or its reply was lost; nothing is known. */
+        /** The store was unavailable or its reply was lost; the claim may or may not be held. */
         UNKNOWN
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/request/RequestMachine.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RequestMachine.java
@@ -23,19 +23,18 @@
 import org.lupinpaddle.core.request.RequestEvent.ClaimResult;
 
 /**
- * Takes one request from its arrival to its only answer. An event and a time go in, the actions to carry
- * out come out; the machine holds no thread and no clock.
+ * The state machine of one request, from its arrival to its only answer. It maps each event and its time to the actions
+ * to perform, and has neither a thread nor a clock of its own.
  *
- * <p>Three rules carry the promises. The caller is answered once and at once: whatever comes after the
- * answer only gives slots back. A request that may have run is sent again only if its caller says that
- * repeating does no harm. A slot is held until its attempt has ended, also when the caller is long gone,
- * since the worker is still busy with it.
+ * <p>It guarantees three things. The caller is answered exactly once and without delay: events after the answer only
+ * release slots. A request that may have run is sent again only if the caller declared it repeatable. A slot is held
+ * until its attempt has ended, even after the caller has disconnected, because the worker is still busy with it.
  */
 public final class RequestMachine {
 
-    // A job that fails on this many workers is the fault of the job, not of the workers.
+    // A request that fails on this many workers is itself at fault, not the workers.
     private static final int MAX_FAILED_WORKERS = 3;
-    // Refusals and dead addresses cost little, yet a request must not wander for ever.
+    // Refusals and unreachable addresses are cheap, but a request must not be retried without end.
     private static final int MAX_ATTEMPTS = 6;
 
     private enum State {
@@ -59,28 +58,28 @@
     private long grant;
     private String worker = "";
 
-    /** Makes the machine of a request that draws its retries from {@code retries}. */
+    /** Creates the state machine of a request whose retries are limited by {@code retries}. */
     public RequestMachine(CallerRequest request, RetryBudget retries) {
         this.request = request;
         this.retries = retries;
     }
 
-    /** Returns whether the caller has its answer and no slot is held or asked for any more. */
+    /** Returns whether the caller has been answered and no slot is held or requested. */
     public boolean isFinished() {
         return state == State.ANSWERED && pendingAttempt == 0 && !slotRequested;
     }
 
-    /** Returns whether the caller has its answer. */
+    /** Returns whether the caller has been answered. */
     public boolean isAnswered() {
         return state == State.ANSWERED;
     }
 
-    /** Returns how many attempts were made. */
+    /** Returns the number of attempts so far. */
     public int attempts() {
         return attempt;
     }
 
-    /** Takes an event at a time and returns what is to be done, in order. */
+    /** Handles an event and returns the actions to perform, in order. */
     public List<RequestAction> onEvent(RequestEvent event, long now) {
         List<RequestAction> actions = new ArrayList<>();
         if (event instanceof RequestEvent.Arrived) {
@@ -118,7 +117,7 @@
 
     private void onClaimCompleted(ClaimResult result, long now, List<RequestAction> actions) {
         if (state != State.CLAIMING) {
-            // The caller was answered while the store was asked: nothing was sent, so the claim is given back.
+            // The caller was answered while the claim was pending. Nothing was sent, so the claim is marked as not run.
             if (result != ClaimResult.HELD) {
                 actions.add(new RequestAction.MarkClaimNotRun());
             }
@@ -178,7 +177,7 @@
 
     private void onAttemptEnded(RequestEvent.AttemptEnded e, long now, List<RequestAction> actions) {
         if (e.attempt() != pendingAttempt) {
-            // A late word of an earlier attempt belongs to nobody.
+            // Ignores a late event of an earlier attempt.
             return;
         }
         pendingAttempt = 0;
--- a/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
@@ -16,24 +16,23 @@
 package org.lupinpaddle.core.request;
 
 /**
- * Allows retries as a share of fresh requests, so that retries can not multiply a load that the workers
- * already fail under. A token bucket: each fresh request pays in a share of a token, each retry takes a
- * whole one; see "Handling Overload" in Site Reliability Engineering (Beyer et al., 2016).
+ * Limits retries to a fraction of new requests, so that retries cannot multiply a load that already overloads the
+ * workers. It is a token bucket: each new request adds a fraction of a token, and each retry takes a whole one; see "Handling Overload" in Site Reliability Engineering (Beyer et al., 2016).
  */
 public final class RetryBudget {
 
     private static final double TOKENS_PER_REQUEST = 0.1;
-    // Enough that a single broken worker can be retried around on an idle entry.
+    // Allows an idle entry to retry its requests past a single faulty worker.
     private static final double MAX_TOKENS = 20;
 
     private double tokens = MAX_TOKENS;
 
-    /** Notes a fresh request. */
+    /** Adds the tokens for a new request. */
     public void onNewRequest() {
         tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token for a retry; returns false if none is available. */
     public boolean tryAcquire() {
         if (tokens < 1) {
             return false;
--- a/core/src/main/java/org/lupinpaddle/core/request/package-info.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/package-info.java
@@ -1,4 +1,4 @@
-/** One caller's request from arrival to its only answer. */
+/** The handling of one caller's request, from its arrival to its only answer. */
 @NullMarked
 package org.lupinpaddle.core.request;
 
--- a/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
@@ -18,14 +18,14 @@
 import java.util.Locale;
 import org.jspecify.annotations.Nullable;
 
-/** Counts in how many histories of an unsafe job it runs twice, with claims and without. */
+/** Counts the simulated histories in which a job that must not be repeated runs more than once, with and without claims. */
 public final class ClaimExperiment {
 
     private static final int HISTORIES = 20_000;
 
     private ClaimExperiment() {}
 
-    /** Prints the table. */
+    /** Prints a row for each setting. */
     public static void main(String[] args) {
         System.out.println("| claims | histories of an unsafe job tried up to 4 times | it ran more than once |");
         System.out.println("|---|---|---|");
--- a/core/src/test/java/org/lupinpaddle/core/request/JobSimulation.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/JobSimulation.java
@@ -27,19 +27,19 @@
 import org.lupinpaddle.core.request.RequestEvent.ClaimResult;
 
 /**
- * One job whose caller tries it at several entries, workers that run it, and a network and a store that
- * lose what they like. Everything's order comes from a seed. A rule can be switched off, to see that the
- * check would notice.
+ * Simulates a job that its caller submits to several entries, the workers that run it, and a network and a store that lose
+ * messages at random. The order of all events follows from a seed. A rule can be disabled, to verify that the checks
+ * detect its absence.
  */
 final class JobSimulation {
 
-    /** A rule of the product, switched off. */
+    /** A rule of the request handling that is disabled, to verify that the checks detect it. */
     enum DisabledRule {
-        /** A broken connection is taken for one that was never made. */
+        /** Treats a broken connection as one that was never opened. */
         BROKEN_IS_NOT_SENT,
-        /** The claim is not asked of the store. */
+        /** Sends requests without acquiring a claim. */
         NO_CLAIM,
-        /** A claim whose reply was lost is taken for ours. */
+        /** Treats a claim whose reply was lost as acquired. */
         LOST_CLAIM_IS_WON
     }
 
@@ -63,7 +63,7 @@
         this.disabledRule = disabledRule;
     }
 
-    /** One try of the caller at one entry. */
+    /** One request of the caller at one entry. */
     private final class SimulatedRequest {
         private final RequestMachine machine;
         private final Map<Long, Boolean> heldGrants = new HashMap<>();
@@ -104,7 +104,7 @@
                 require(!answered, "sent after the caller was answered");
                 send(s.attempt());
             } else if (a instanceof RequestAction.ReleaseSlot r) {
-                require(heldGrants.remove(r.grant()) != null, "a slot was given back twice");
+                require(heldGrants.remove(r.grant()) != null, "a slot was released twice");
             } else if (a instanceof RequestAction.ForwardResponse) {
                 answer(Verdict.RAN);
             } else if (a instanceof RequestAction.GiveUp g) {
@@ -119,7 +119,7 @@
             require(answers == 1, "answered twice");
         }
 
-        // The store may take the claim at once, later, never, or take it and lose the reply.
+        // The store may apply the claim at once, later or never, or apply it and lose the reply.
         private void acquireClaim() {
             if (disabledRule == DisabledRule.NO_CLAIM) {
                 pending.add(() -> on(new RequestEvent.ClaimCompleted(ClaimResult.WON)));
@@ -129,7 +129,7 @@
             switch (random.nextInt(5)) {
                 case 0 -> pending.add(() -> on(new RequestEvent.ClaimCompleted(lost)));
                 case 1 -> {
-                    // Given up on here, and landing in the store later all the same.
+                    // The entry stops waiting, but the store still applies the claim later.
                     pending.add(() -> on(new RequestEvent.ClaimCompleted(lost)));
                     pending.add(this::claim);
                 }
@@ -170,7 +170,7 @@
                 case 1 -> end(attempt, AttemptOutcome.REFUSED_FULL);
                 case 2 -> end(attempt, AttemptOutcome.REFUSED_LEAVING);
                 case 3 -> {
-                    // Broken off, and run by the worker all the same, perhaps much later.
+                    // The connection breaks, but the worker still runs the request, perhaps much later.
                     end(
                             attempt,
                             disabledRule == DisabledRule.BROKEN_IS_NOT_SENT
@@ -199,7 +199,7 @@
         private void end(int attempt, AttemptOutcome outcome) {
             pending.add(() -> on(new RequestEvent.AttemptEnded(attempt, outcome)));
             if (random.nextInt(5) == 0) {
-                // A reply that comes twice, the second time for an attempt that is over.
+                // Repeats the reply for an attempt that has already ended.
                 pending.add(() -> on(new RequestEvent.AttemptEnded(attempt, AttemptOutcome.ANSWERED)));
             }
         }
@@ -211,7 +211,7 @@
         }
     }
 
-    /** Runs to the end of everything; fails at the first broken promise. */
+    /** Runs until no work is pending; fails at the first violated guarantee. */
     void run() {
         for (int i = 0; i < 200; i++) {
             now += random.nextInt(10);
@@ -246,21 +246,21 @@
     }
 
     private void check() {
-        require(repeatable || runs <= 1, "an unsafe job ran " + runs + " times");
+        require(repeatable || runs <= 1, "a non-repeatable job ran " + runs + " times");
         for (SimulatedRequest t : requests) {
             require(t.crashed || t.answers == 1, "a caller was answered " + t.answers + " times");
-            require(t.verdict != Verdict.NOT_RUN || t.ownRuns == 0, "\"not run\" was said of a job that ran");
-            require(t.crashed || t.heldGrants.isEmpty(), "a slot was never given back");
-            require(t.crashed || t.machine.isFinished(), "a request never ended");
+            require(t.verdict != Verdict.NOT_RUN || t.ownRuns == 0, "NOT_RUN was reported for a job that ran");
+            require(t.crashed || t.heldGrants.isEmpty(), "a slot was never released");
+            require(t.crashed || t.machine.isFinished(), "a request never finished");
         }
     }
 
-    /** Returns how often the job ran. */
+    /** Returns the number of times that the job ran. */
     int runs() {
         return runs;
     }
 
-    /** Returns the verdicts that callers got. */
+    /** Returns the verdicts that callers received. */
     Set<Verdict> verdicts() {
         return requests.stream()
                 .map(t -> t.verdict)
--- a/core/src/test/java/org/lupinpaddle/core/request/RequestMachineProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/RequestMachineProperties.java
@@ -32,19 +32,19 @@
 import org.lupinpaddle.core.common.Verdict;
 import org.lupinpaddle.core.request.JobSimulation.DisabledRule;
 
-/** Requests under lost replies, kills, cancellations and races, whatever their order. */
+/** Tests the guarantees of request handling under lost replies, crashes, cancellations and races in random order. */
 class RequestMachineProperties {
 
     @Group
-    class Holding {
+    class Guarantees {
 
         @Property(seed = "21", tries = 20_000, shrinking = ShrinkingMode.OFF)
-        void anUnsafeJobRunsAtMostOnceAndNotRunIsTrue(@ForAll long seed) {
+        void aNonRepeatableJobRunsAtMostOnceAndNotRunIsCorrect(@ForAll long seed) {
             new JobSimulation(seed, false, null).run();
         }
 
         @Property(seed = "22", tries = 20_000, shrinking = ShrinkingMode.OFF)
-        void aRepeatableJobIsAnsweredOnceAndNotRunIsTrue(@ForAll long seed) {
+        void aRepeatableJobIsAnsweredOnceAndNotRunIsCorrect(@ForAll long seed) {
             new JobSimulation(seed, true, null).run();
         }
 
@@ -60,11 +60,11 @@
         }
     }
 
-    /** Each rule switched off in turn: the same checks must notice. */
+    /** Disables each rule in turn and verifies that the same checks detect it. */
     @Group
-    class Noticing {
+    class DisabledRules {
 
-        private boolean isNoticed(DisabledRule disabledRule) {
+        private boolean isDetected(DisabledRule disabledRule) {
             for (long seed = 0; seed < 2_000; seed++) {
                 try {
                     new JobSimulation(seed, false, disabledRule).run();
@@ -76,22 +76,22 @@
         }
 
         @Example
-        void aBrokenConnectionTakenForNoneAtAll() {
-            assertTrue(isNoticed(DisabledRule.BROKEN_IS_NOT_SENT));
+        void aBrokenConnectionTreatedAsNotSent() {
+            assertTrue(isDetected(DisabledRule.BROKEN_IS_NOT_SENT));
         }
 
         @Example
-        void noClaims() {
-            assertTrue(isNoticed(DisabledRule.NO_CLAIM));
+        void missingClaims() {
+            assertTrue(isDetected(DisabledRule.NO_CLAIM));
         }
 
         @Example
-        void aLostClaimTakenForOurs() {
-            assertTrue(isNoticed(DisabledRule.LOST_CLAIM_IS_WON));
+        void aLostClaimReplyTreatedAsWon() {
+            assertTrue(isDetected(DisabledRule.LOST_CLAIM_IS_WON));
         }
     }
 
-    /** Any events at all, in any order, also ones that make no sense. */
+    /** Sends arbitrary events in arbitrary order, including sequences that cannot occur. */
     @Group
     class AnyEvents {
 
@@ -121,7 +121,7 @@
                     boolean sends = a instanceof RequestAction.Send
                             || a instanceof RequestAction.RequestSlot
                             || a instanceof RequestAction.AcquireClaim;
-                    assertTrue(answers == 0 || !sends, "work begun after the answer");
+                    assertTrue(answers == 0 || !sends, "work was started after the answer");
                     answers += a instanceof RequestAction.ForwardResponse || a instanceof RequestAction.GiveUp ? 1 : 0;
                 }
             }
--- a/core/src/test/java/org/lupinpaddle/core/request/RequestMachineTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/RequestMachineTest.java
@@ -48,7 +48,7 @@
     class GivingUp {
 
         @Test
-        void isAnsweredAtOnceWithAVerdictWhileWaiting() {
+        void answersAtOnceWithAVerdictWhileWaiting() {
             RequestMachine m = machine(false);
             List<RequestAction> a = m.onEvent(new RequestEvent.CallerDisconnected(), 5);
             assertEquals(Verdict.NOT_RUN, gaveUp(a).verdict());
@@ -57,7 +57,7 @@
         }
 
         @Test
-        void keepsTheSlotOfARequestThatIsOutUntilTheWorkerIsDone() {
+        void holdsTheSlotOfASentRequestUntilTheWorkerIsDone() {
             RequestMachine m = machine(false);
             m.onEvent(new RequestEvent.SlotGranted(7, "w"), 1);
             List<RequestAction> a = m.onEvent(new RequestEvent.CallerDisconnected(), 5);
@@ -69,7 +69,7 @@
         }
 
         @Test
-        void saysWhenToComeBackAfterItsDeadline() {
+        void returnsARetryDelayAfterTheDeadline() {
             RequestMachine m = machine(false);
             RequestAction.GiveUp g = gaveUp(m.onEvent(new RequestEvent.DeadlinePassed(), 1_000));
             assertEquals(GiveUpReason.EXPIRED, g.reason());
@@ -81,7 +81,7 @@
     class Retrying {
 
         @Test
-        void sendsAnUnsafeRequestAgainOnlyAfterNotRun() {
+        void resendsANonRepeatableRequestOnlyIfItDidNotRun() {
             RequestMachine m = machine(false);
             m.onEvent(new RequestEvent.SlotGranted(1, "w1"), 1);
             List<RequestAction> again = m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.REFUSED_LEAVING), 2);
@@ -92,7 +92,7 @@
         }
 
         @Test
-        void endsAJobThatFailsOnThreeWorkers() {
+        void givesUpARequestThatFailsOnThreeWorkers() {
             RequestMachine m = machine(true);
             for (int i = 1; i <= 2; i++) {
                 m.onEvent(new RequestEvent.SlotGranted(i, "w" + i), i);
@@ -104,10 +104,10 @@
         }
 
         @Test
-        void stopsWhenTheBudgetIsSpent() {
+        void stopsWhenTheBudgetIsExhausted() {
             RetryBudget b = new RetryBudget();
             while (b.tryAcquire()) {
-                // Others have used it up.
+                // Exhausts the budget.
             }
             RequestMachine m = new RequestMachine(
                     CallerRequest.builder("r", "s")
@@ -124,10 +124,10 @@
     }
 
     @Nested
-    class Answers {
+    class EventsOfAnEarlierAttempt {
 
         @Test
-        void ofAnEarlierAttemptBelongToNobody() {
+        void areIgnored() {
             RequestMachine m = machine(true);
             m.onEvent(new RequestEvent.SlotGranted(1, "w1"), 1);
             m.onEvent(new RequestEvent.AttemptEnded(1, AttemptOutcome.BROKEN), 2);
