--- a/core/src/main/java/org/lupinpaddle/core/queue/JobConfiguration.java
+++ b/core/src/main/java/org/lupinpaddle/core/queue/JobConfiguration.java
@@ -21,12 +21,12 @@
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /**
- * The operators' configuration of queues and services, whole.
+ * The complete configuration of queues and services, as set by the operators.
  *
- * @param version the operators' number of it
+ * @param version the version number assigned by the operators
  * @param queues all queues
  * @param services all services
- * @param bodyBytes the largest body that is taken from a caller
+ * @param bodyBytes the maximum size of a request body, in bytes
  * @param workspaces the workspaces that share the fleet
  */
 public record JobConfiguration(
--- a/core/src/main/java/org/lupinpaddle/core/queue/QueueConfig.java
+++ b/core/src/main/java/org/lupinpaddle/core/queue/QueueConfig.java
@@ -18,13 +18,13 @@
 import org.lupinpaddle.core.job.Policy;
 
 /**
- * One queue: where callers hand jobs in, and whose workers run them.
+ * The configuration of a queue, to which callers submit jobs.
  *
  * @param name the queue's name
- * @param host the host that callers name
- * @param pathPrefix the beginning of the path that callers name; a job's id follows it
- * @param service whose workers run the jobs
- * @param policy what the jobs are due
+ * @param host the host that requests for the queue name
+ * @param pathPrefix the prefix of the request path, which a job's id follows
+ * @param service the service whose workers run the jobs
+ * @param policy the scheduling policy of the jobs
  * @param requiresKey whether requests must carry the API key of a workspace
  */
 public record QueueConfig(
--- a/core/src/main/java/org/lupinpaddle/core/queue/ServiceConfig.java
+++ b/core/src/main/java/org/lupinpaddle/core/queue/ServiceConfig.java
@@ -16,10 +16,10 @@
 package org.lupinpaddle.core.queue;
 
 /**
- * One service: a pool of instances.
+ * The configuration of a service, which is a pool of instances.
  *
  * @param name the service's name
- * @param headroom whether its instances are off: it is the pool from which others are filled
- * @param guardsRoom whether its workers refuse what does not fit
+ * @param headroom whether it is the reserve pool, whose instances are off and are moved to other services
+ * @param guardsRoom whether its workers refuse tasks that exceed their capacity
  */
 public record ServiceConfig(String name, boolean headroom, boolean guardsRoom) {}
