--- a/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
@@ -52,7 +52,7 @@
 
     @Override
     public Optional<Unreadable> wrong() {
-        return tasks.stream().allMatch(TaskRecord::isSound)
+        return tasks.stream().allMatch(TaskRecord::isValid)
                 ? Optional.empty()
                 : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("tasks"));
     }
@@ -61,17 +61,17 @@
      * Returns what is wrong with a part that the rest can do without: counts of crashes begin anew, and of the lives of
      * workers nothing is known.
      */
-    public Optional<Unreadable> unreadablePart() {
+    public Optional<Unreadable> unreadableOptionalField() {
         if (tasks.stream().anyMatch(TaskRecord::hasUnreadableCrashes)) {
             return Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("tasks.crashes"));
         }
-        return tasks.stream().anyMatch(TaskRecord::hasUnreadableBirth)
+        return tasks.stream().anyMatch(TaskRecord::hasUnreadableWorkerStart)
                 ? Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("tasks.workerBornMillis"))
                 : Optional.empty();
     }
 
     /** Returns whether the job has ended and no worker holds anything of it. */
-    public boolean over() {
+    public boolean finished() {
         return state.ended() && tasks.isEmpty();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
@@ -48,7 +48,7 @@
 
     // No JSON: nothing reads it as a job by mistake.
     /** What lies in the place of a job's record once the job is over; that the key is there still says "accepted". */
-    public static final String OVER = "over";
+    public static final String FINISHED_MARKER = "over";
 
     /** Creates a job that belongs to no workspace. */
     public JobSpec(
@@ -64,14 +64,14 @@
 
     @Override
     public Optional<Unreadable> wrong() {
-        if (SubmissionCheck.wrong(new Submission(text, steps, repeat)).isPresent()) {
+        if (SubmissionValidator.findError(new Submission(text, steps, repeat)).isPresent()) {
             return Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("steps"));
         }
-        return policy.isSound() ? Optional.empty() : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("policy"));
+        return policy.isValid() ? Optional.empty() : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("policy"));
     }
 
     /** Returns whether this is the job whose record lies under the key of a service. */
-    public boolean isAt(String ofService, JobKey at) {
-        return service.equals(ofService) && key.equals(at);
+    public boolean isStoredUnder(String keyService, JobKey keyJob) {
+        return service.equals(keyService) && key.equals(keyJob);
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/job/CountOrUnreadable.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/LenientCountDeserializer.java
@@ -22,23 +22,23 @@
 import java.io.IOException;
 
 /** Reads a count without which the rest of its record is worth keeping: anything but a count is told as such. */
-final class CountOrUnreadable extends StdDeserializer<Integer> {
+final class LenientCountDeserializer extends StdDeserializer<Integer> {
 
     /** Stands for a value that is no count. */
     static final int UNREADABLE = -1;
 
     private static final long serialVersionUID = 1;
 
-    CountOrUnreadable() {
+    LenientCountDeserializer() {
         super(Integer.class);
     }
 
     @Override
     public Integer deserialize(JsonParser p, DeserializationContext context) throws IOException {
-        boolean whole = p.currentToken() == JsonToken.VALUE_NUMBER_INT
+        boolean valid = p.currentToken() == JsonToken.VALUE_NUMBER_INT
                 && p.getNumberType() == JsonParser.NumberType.INT
                 && p.getIntValue() >= 0;
-        if (whole) {
+        if (valid) {
             return p.getIntValue();
         }
         p.skipChildren();
--- a/core/src/main/java/org/lupinpaddle/core/job/BirthOrUnreadable.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/LenientStartTimeDeserializer.java
@@ -22,23 +22,23 @@
 import java.io.IOException;
 
 /** Reads the birth of a worker, without which the rest of its record is worth keeping. */
-final class BirthOrUnreadable extends StdDeserializer<Long> {
+final class LenientStartTimeDeserializer extends StdDeserializer<Long> {
 
     /** Stands for a value that is no birth. */
     static final long UNREADABLE = -1;
 
     private static final long serialVersionUID = 1;
 
-    BirthOrUnreadable() {
+    LenientStartTimeDeserializer() {
         super(Long.class);
     }
 
     @Override
     public Long deserialize(JsonParser p, DeserializationContext context) throws IOException {
-        boolean whole = p.currentToken() == JsonToken.VALUE_NUMBER_INT
+        boolean valid = p.currentToken() == JsonToken.VALUE_NUMBER_INT
                 && p.getNumberType() != JsonParser.NumberType.BIG_INTEGER
                 && p.getLongValue() > 0;
-        if (whole) {
+        if (valid) {
             return p.getLongValue();
         }
         p.skipChildren();
--- a/core/src/main/java/org/lupinpaddle/core/job/Policy.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/Policy.java
@@ -30,7 +30,7 @@
     public static final int LATE_FACTOR = 3;
 
     /** Returns whether all values have a meaning. */
-    boolean isSound() {
+    boolean isValid() {
         return priority >= 0 && maxAttempts >= 0 && sloMillis >= 0 && Double.isFinite(extension) && extension >= 0;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/job/Repeat.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/Repeat.java
@@ -28,7 +28,7 @@
     public static final Repeat ONCE = new Repeat(0, 0, 0);
 
     /** Returns how many times the steps are run. */
-    public int times() {
+    public int repetitions() {
         return Math.max(1, count);
     }
 
--- a/core/src/main/java/org/lupinpaddle/core/job/JobKeys.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/SchedulerKeys.java
@@ -24,7 +24,7 @@
  * Where the job scheduler's records lie in the store. What the owner of a service must notice lies under one
  * prefix, so that one watch shows all of it; what it writes itself lies elsewhere.
  */
-public final class JobKeys {
+public final class SchedulerKeys {
 
     /** Prefix of the entries and of the owners, each under the lease of an entry. */
     public static final String MEMBERS = "lupinpaddle/member/";
@@ -38,7 +38,7 @@
     private static final String REPORTS = FLEET + "report/";
     private static final String QUOTAS = "lupinpaddle/quota/";
     // Store keys are limited to 200 bytes; a longer workspace name is replaced by its digest.
-    private static final int MOST_NAME_BYTES = 120;
+    private static final int MAX_NAME_BYTES = 120;
     private static final String JOB = "job/";
     private static final String CANCEL = "cancel/";
     private static final String EVACUATIONS = FLEET + "evacuate/";
@@ -46,10 +46,10 @@
     private static final String RECENT_ORDERS = FLEET + "recent-orders";
 
     // Any writer of the store can make up a key: what is no such name is passed over.
-    private static final Pattern NUMBER = Pattern.compile("[0-9]{1,18}");
-    private static final Pattern WORKER_OF_SERVICE = Pattern.compile("(?s).+/[^/]+");
+    private static final Pattern WAVE_NUMBER = Pattern.compile("[0-9]{1,18}");
+    private static final Pattern SERVICE_AND_WORKER = Pattern.compile("(?s).+/[^/]+");
 
-    private JobKeys() {}
+    private SchedulerKeys() {}
 
     /** Returns the key of an entry's registration. */
     public static String entry(String name) {
@@ -58,7 +58,7 @@
 
     /** Returns the name of the entry whose registration this is, or nothing. */
     public static Optional<String> entryOf(String key) {
-        return after(ENTRIES, key);
+        return withoutPrefix(ENTRIES, key);
     }
 
     /** Returns the key under which an entry tells how much it can do. */
@@ -68,7 +68,7 @@
 
     /** Returns the name of the entry whose capacity this is, or nothing. */
     public static Optional<String> capacityOf(String key) {
-        return after(CAPACITIES, key);
+        return withoutPrefix(CAPACITIES, key);
     }
 
     /** Returns the key that the owner of a duty holds under its lease. */
@@ -77,8 +77,8 @@
     }
 
     /** Returns the duty whose owner's key this is, or nothing. */
-    public static Optional<String> ownedBy(String key) {
-        return after(OWNERS, key);
+    public static Optional<String> dutyOf(String key) {
+        return withoutPrefix(OWNERS, key);
     }
 
     /** Returns the prefix of all that the owner of a service must notice. */
@@ -98,19 +98,19 @@
 
     /** Returns the service under whose inputs a key lies; empty when it lies under none's. */
     public static String serviceOfInput(String key) {
-        return after(INPUTS, key)
+        return withoutPrefix(INPUTS, key)
                 .map(k -> k.substring(0, Math.max(0, k.indexOf('/'))))
                 .orElse("");
     }
 
-    /** Returns the key of a job's record, which changes once: to {@link JobSpec#OVER}. */
+    /** Returns the key of a job's record, which changes once: to {@link JobSpec#FINISHED_MARKER}. */
     public static String job(String service, JobKey job) {
         return inputs(service) + JOB + job;
     }
 
     /** Returns the job whose record lies under the key, or nothing. */
     public static Optional<JobKey> jobOf(String service, String key) {
-        return after(inputs(service) + JOB, key).map(JobKeys::jobKey);
+        return withoutPrefix(inputs(service) + JOB, key).map(SchedulerKeys::jobKey);
     }
 
     /** Returns the key that says that a caller has cancelled a job. */
@@ -119,8 +119,8 @@
     }
 
     /** Returns the job that the key says is cancelled, or nothing. */
-    public static Optional<JobKey> cancelled(String service, String key) {
-        return after(inputs(service) + CANCEL, key).map(JobKeys::jobKey);
+    public static Optional<JobKey> cancelledJobOf(String service, String key) {
+        return withoutPrefix(inputs(service) + CANCEL, key).map(SchedulerKeys::jobKey);
     }
 
     /** Returns the prefix of all that the owner of the fleet must notice. */
@@ -130,8 +130,8 @@
 
     /** Returns whether the key asks for a worker to be emptied. */
     public static boolean isEvacuation(String key) {
-        return after(EVACUATIONS, key)
-                .filter(k -> WORKER_OF_SERVICE.matcher(k).matches())
+        return withoutPrefix(EVACUATIONS, key)
+                .filter(k -> SERVICE_AND_WORKER.matcher(k).matches())
                 .isPresent();
     }
 
@@ -172,7 +172,7 @@
 
     /** Returns the service whose report lies under the key, or nothing. */
     public static Optional<String> reportOf(String key) {
-        return after(REPORTS, key);
+        return withoutPrefix(REPORTS, key);
     }
 
     /** Returns the key of how far a wave of upkeep is. */
@@ -182,7 +182,7 @@
 
     /** Returns the wave whose record lies under the key, or nothing. */
     public static Optional<Long> upkeepOf(String key) {
-        return after(UPKEEP, key).filter(k -> NUMBER.matcher(k).matches()).map(Long::valueOf);
+        return withoutPrefix(UPKEEP, key).filter(k -> WAVE_NUMBER.matcher(k).matches()).map(Long::valueOf);
     }
 
     /** Returns the prefix of all quota allocations. */
@@ -192,7 +192,7 @@
 
     /** Returns the key of the quota allocation of a workspace. */
     public static String quota(String workspace) {
-        boolean isLong = workspace.getBytes(StandardCharsets.UTF_8).length > MOST_NAME_BYTES;
+        boolean isLong = workspace.getBytes(StandardCharsets.UTF_8).length > MAX_NAME_BYTES;
         return QUOTAS + (isLong ? KeyDigest.of(workspace).toHex() : workspace);
     }
 
@@ -203,7 +203,7 @@
 
     /** Returns the job whose progress lies under the key. */
     public static Optional<JobKey> progressOf(String service, String key) {
-        return after(progress(service), key).map(JobKeys::jobKey);
+        return withoutPrefix(progress(service), key).map(SchedulerKeys::jobKey);
     }
 
     private static JobKey jobKey(String text) {
@@ -211,7 +211,7 @@
         return new JobKey(text.substring(0, Math.max(0, slash)), text.substring(slash + 1));
     }
 
-    private static Optional<String> after(String prefix, String key) {
+    private static Optional<String> withoutPrefix(String prefix, String key) {
         return key.startsWith(prefix) ? Optional.of(key.substring(prefix.length())) : Optional.empty();
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/job/StepSpec.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/StepSpec.java
@@ -116,14 +116,14 @@
         }
 
         /** Sets whether tasks save what they have done. */
-        public Builder checkpointing(boolean yes) {
-            this.checkpointing = yes;
+        public Builder checkpointing(boolean enabled) {
+            this.checkpointing = enabled;
             return this;
         }
 
         /** Sets whether the tasks work only together, and whether they had better share a rack. */
-        public Builder gang(boolean together, boolean sameRack) {
-            this.gang = together;
+        public Builder gang(boolean enabled, boolean sameRack) {
+            this.gang = enabled;
             this.rackLocal = sameRack;
             return this;
         }
@@ -136,21 +136,21 @@
         }
 
         /** Sets how many tasks one worker shall carry. */
-        public Builder perWorkerMost(int most) {
-            this.perWorkerMost = most;
+        public Builder perWorkerMost(int maxTasks) {
+            this.perWorkerMost = maxTasks;
             return this;
         }
 
         /** Sets whether copies may run side by side. */
-        public Builder speculative(boolean yes) {
-            this.speculative = yes;
+        public Builder speculative(boolean enabled) {
+            this.speculative = enabled;
             return this;
         }
 
         /** Sets that the tasks run until the job is cancelled, and how many may be away at one time. */
-        public Builder longRunning(boolean yes, int awayMost) {
-            this.longRunning = yes;
-            this.mayMiss = awayMost;
+        public Builder longRunning(boolean enabled, int maxUnavailable) {
+            this.longRunning = enabled;
+            this.mayMiss = maxUnavailable;
             return this;
         }
 
--- a/core/src/main/java/org/lupinpaddle/core/job/SubmissionCheck.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/SubmissionValidator.java
@@ -23,17 +23,17 @@
 import java.util.regex.Pattern;
 
 /** Says what is wrong with what a caller hands in, naming the field, so that nothing odd reaches the store. */
-public final class SubmissionCheck {
+public final class SubmissionValidator {
 
     // From the platform's protocol: an id is 16 hex digits, a text has at most 4,000 bytes.
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
-    private static final int MOST_TEXT_BYTES = 4_000;
+    private static final int MAX_TEXT_BYTES = 4_000;
     // Ours: a job's records must fit into one value of the store, with room to spare.
-    private static final int MOST_STEPS = 100;
-    private static final int MOST_TASKS = 5_000;
-    private static final int MOST_TIMES = 1_000;
+    private static final int MAX_STEPS = 100;
+    private static final int MAX_TASKS = 5_000;
+    private static final int MAX_REPETITIONS = 1_000;
 
-    private SubmissionCheck() {}
+    private SubmissionValidator() {}
 
     /** Returns whether a text is a job's id. */
     public static boolean isId(String id) {
@@ -41,56 +41,56 @@
     }
 
     /** Returns what is wrong, or nothing. */
-    public static Optional<String> wrong(Submission s) {
-        if (s.text().getBytes(StandardCharsets.UTF_8).length > MOST_TEXT_BYTES) {
-            return Optional.of("the text has more than " + MOST_TEXT_BYTES + " bytes");
+    public static Optional<String> findError(Submission s) {
+        if (s.text().getBytes(StandardCharsets.UTF_8).length > MAX_TEXT_BYTES) {
+            return Optional.of("the text has more than " + MAX_TEXT_BYTES + " bytes");
         }
-        if (s.steps().isEmpty() || s.steps().size() > MOST_STEPS) {
-            return Optional.of("steps: there must be 1 to " + MOST_STEPS);
+        if (s.steps().isEmpty() || s.steps().size() > MAX_STEPS) {
+            return Optional.of("steps: there must be 1 to " + MAX_STEPS);
         }
-        Optional<String> repeat = wrongRepeat(s.repeat());
+        Optional<String> repeat = findRepeatError(s.repeat());
         if (repeat.isPresent()) {
             return repeat;
         }
         for (int i = 0; i < s.steps().size(); i++) {
-            Optional<String> step = wrongStep(i, s.steps());
+            Optional<String> step = findStepError(i, s.steps());
             if (step.isPresent()) {
                 return step;
             }
         }
         long tasks =
-                s.steps().stream().mapToLong(StepSpec::count).sum() * s.repeat().times();
-        if (tasks > MOST_TASKS) {
-            return Optional.of("the job has " + tasks + " tasks; at most " + MOST_TASKS + " are taken");
+                s.steps().stream().mapToLong(StepSpec::count).sum() * s.repeat().repetitions();
+        if (tasks > MAX_TASKS) {
+            return Optional.of("the job has " + tasks + " tasks; at most " + MAX_TASKS + " are taken");
         }
         return hasCycle(s.steps())
                 ? Optional.of("after: the steps wait for one another in a circle")
                 : Optional.empty();
     }
 
-    private static Optional<String> wrongRepeat(Repeat r) {
-        if (r.count() < 0 || r.count() > MOST_TIMES) {
-            return Optional.of("the number of times must be 0 to " + MOST_TIMES);
+    private static Optional<String> findRepeatError(Repeat r) {
+        if (r.count() < 0 || r.count() > MAX_REPETITIONS) {
+            return Optional.of("the number of times must be 0 to " + MAX_REPETITIONS);
         }
         return r.intervalMillis() < 0 ? Optional.of("the interval must not be negative") : Optional.empty();
     }
 
-    private static Optional<String> wrongStep(int i, List<StepSpec> steps) {
+    private static Optional<String> findStepError(int i, List<StepSpec> steps) {
         StepSpec s = steps.get(i);
-        String where = "steps[" + i + "].";
+        String field = "steps[" + i + "].";
         StepSpec.Need n = s.need();
-        if (s.count() < 1 || s.count() > MOST_TASKS) {
-            return Optional.of(where + "count must be 1 to " + MOST_TASKS);
+        if (s.count() < 1 || s.count() > MAX_TASKS) {
+            return Optional.of(field + "count must be 1 to " + MAX_TASKS);
         }
         if (n.cpuMillis() < 0 || n.memoryMb() < 0 || n.accelerators() < 0) {
-            return Optional.of(where + "what a task asks for must not be negative");
+            return Optional.of(field + "what a task asks for must not be negative");
         }
         if (s.estimateMillis() < 0 || s.perWorkerMost() < 0 || s.mayMiss() < 0 || s.targetMillis() < 0) {
-            return Optional.of(where + "counts and times must not be negative");
+            return Optional.of(field + "counts and times must not be negative");
         }
-        for (int before : s.after()) {
-            if (before < 0 || before >= steps.size() || before == i) {
-                return Optional.of(where + "after: there is no other step " + before);
+        for (int dependency : s.after()) {
+            if (dependency < 0 || dependency >= steps.size() || dependency == i) {
+                return Optional.of(field + "after: there is no other step " + dependency);
             }
         }
         return Optional.empty();
@@ -98,13 +98,13 @@
 
     private static boolean hasCycle(List<StepSpec> steps) {
         Set<Integer> done = new HashSet<>();
-        boolean grew = true;
-        while (grew) {
-            grew = false;
+        boolean changed = true;
+        while (changed) {
+            changed = false;
             for (int i = 0; i < steps.size(); i++) {
                 if (!done.contains(i) && done.containsAll(steps.get(i).after())) {
                     done.add(i);
-                    grew = true;
+                    changed = true;
                 }
             }
         }
--- a/core/src/main/java/org/lupinpaddle/core/job/TaskRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/TaskRecord.java
@@ -62,13 +62,13 @@
         String worker,
         String checkpoint,
 
-        @JsonDeserialize(using = CountOrUnreadable.class) @Nullable
+        @JsonDeserialize(using = LenientCountDeserializer.class) @Nullable
         Integer crashes,
 
-        @JsonDeserialize(using = CountOrUnreadable.class) @Nullable
+        @JsonDeserialize(using = LenientCountDeserializer.class) @Nullable
         Integer doubtfulCrashes,
 
-        @JsonDeserialize(using = BirthOrUnreadable.class) @Nullable
+        @JsonDeserialize(using = LenientStartTimeDeserializer.class) @Nullable
         Long workerBornMillis) {
 
     /** Makes the record of a task under which no worker has crashed. */
@@ -78,7 +78,7 @@
     }
 
     /** Returns when the life of the worker began that was given the newest run; 0 where nobody can tell. */
-    public long knownWorkerBornMillis() {
+    public long knownWorkerStartMillis() {
         return workerBornMillis == null ? 0 : Math.max(0, workerBornMillis);
     }
 
@@ -119,12 +119,12 @@
 
     /** Returns whether something else stands where the birth of a worker is to stand. */
     @JsonIgnore
-    public boolean hasUnreadableBirth() {
+    public boolean hasUnreadableWorkerStart() {
         return workerBornMillis != null && workerBornMillis < 0;
     }
 
     /** Returns whether all numbers have a meaning. */
-    boolean isSound() {
+    boolean isValid() {
         return time >= 0 && step >= 0 && index >= 0 && run >= 0 && failures >= 0;
     }
 }
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveJob.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveJob.java
@@ -64,7 +64,7 @@
     LiveJob(JobSpec spec, WorkspaceQuota quota, RunTimeEstimator times) {
         this.spec = spec;
         this.quota = quota;
-        for (int k = 0; k < spec.repeat().times(); k++) {
+        for (int k = 0; k < spec.repeat().repetitions(); k++) {
             for (int s = 0; s < spec.steps().size(); s++) {
                 LiveStep step = new LiveStep(this, k, s);
                 steps.add(step);
--- a/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/LiveTask.java
@@ -228,7 +228,7 @@
         failures = r.failures();
         recordCrashes(r.knownCrashes(), r.knownDoubtfulCrashes(), now);
         checkpoint = r.checkpoint();
-        incarnation = new WorkerIncarnation(r.worker(), r.knownWorkerBornMillis());
+        incarnation = new WorkerIncarnation(r.worker(), r.knownWorkerStartMillis());
         workDone = r.done() && !r.worker().isEmpty();
         provenOnlyUntil = provenOnlyDeadline(now);
     }
--- a/core/src/main/java/org/lupinpaddle/core/run/PersistencePass.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/PersistencePass.java
@@ -123,7 +123,7 @@
                 continue;
             }
             JobProgress progress = job.progress(state.wallNow());
-            rows += progress.over() ? ROWS_PER_ENDED_JOB : ROWS_PER_RECORD;
+            rows += progress.finished() ? ROWS_PER_ENDED_JOB : ROWS_PER_RECORD;
             tasks += progress.tasks().size();
             if (rows > ROWS_PER_SAVE || (tasks > MAX_TASKS_PER_SAVE && !batch.isEmpty())) {
                 return batch;
--- a/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
+++ b/core/src/main/java/org/lupinpaddle/core/run/ServiceReportBuilder.java
@@ -62,7 +62,7 @@
 
     private void add(LiveJob job, Demands demands) {
         long wallMillis = state.wallNow();
-        for (int time = 0; time < job.spec.repeat().times(); time++) {
+        for (int time = 0; time < job.spec.repeat().repetitions(); time++) {
             if (wallMillis >= job.spec.repeat().dueMillis(time)) {
                 addIteration(job, time, wallMillis, demands);
             }
--- a/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/common/RecordCodecProperties.java
@@ -231,8 +231,8 @@
                 .get()
                 .tasks()
                 .get(0);
-        assertEquals(0, read.knownWorkerBornMillis());
-        assertFalse(read.hasUnreadableBirth());
+        assertEquals(0, read.knownWorkerStartMillis());
+        assertFalse(read.hasUnreadableWorkerStart());
     }
 
     @Property(tries = 100)
@@ -244,7 +244,7 @@
                 .get()
                 .tasks()
                 .get(0);
-        assertEquals(0, read.knownWorkerBornMillis(), tree.toString());
+        assertEquals(0, read.knownWorkerStartMillis(), tree.toString());
         assertEquals("w1", read.worker());
     }
 
--- a/core/src/test/java/org/lupinpaddle/core/job/JobKeysProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/job/SchedulerKeysProperties.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.fleet.InstanceOperation;
 
 /** Keys that another writer has made up are taken for nothing, and stop nobody. */
-class JobKeysProperties {
+class SchedulerKeysProperties {
 
     @Provide
     Arbitrary<String> names() {
@@ -42,36 +42,36 @@
     void ofAnyNameAreTakenApart(@ForAll("names") String name, @ForAll("prefixes") String prefix) {
         String key = prefix + name;
         assertDoesNotThrow(() -> {
-            JobKeys.jobOf("clips", key);
-            JobKeys.cancelled("clips", key);
-            JobKeys.progressOf("clips", key);
-            JobKeys.upkeepOf(key);
-            JobKeys.reportOf(key);
-            JobKeys.entryOf(key);
-            JobKeys.capacityOf(key);
-            JobKeys.ownedBy(key);
-            JobKeys.serviceOfInput(key);
-            if (JobKeys.isEvacuation(key)) {
-                assertFalse(JobKeys.evacuatedService(key).isEmpty());
-                assertFalse(JobKeys.evacuatedWorker(key).isEmpty());
+            SchedulerKeys.jobOf("clips", key);
+            SchedulerKeys.cancelledJobOf("clips", key);
+            SchedulerKeys.progressOf("clips", key);
+            SchedulerKeys.upkeepOf(key);
+            SchedulerKeys.reportOf(key);
+            SchedulerKeys.entryOf(key);
+            SchedulerKeys.capacityOf(key);
+            SchedulerKeys.dutyOf(key);
+            SchedulerKeys.serviceOfInput(key);
+            if (SchedulerKeys.isEvacuation(key)) {
+                assertFalse(SchedulerKeys.evacuatedService(key).isEmpty());
+                assertFalse(SchedulerKeys.evacuatedWorker(key).isEmpty());
             }
         });
     }
 
     @Provide
     Arbitrary<String> prefixes() {
-        String evacuations = JobKeys.evacuations("");
+        String evacuations = SchedulerKeys.evacuations("");
         return Arbitraries.of(
-                JobKeys.fleet(),
+                SchedulerKeys.fleet(),
                 evacuations.substring(0, evacuations.length() - 1),
-                JobKeys.upkeep(1).replace("1", ""),
-                JobKeys.report(""),
-                JobKeys.inputs("clips"),
-                JobKeys.allInputs(),
-                JobKeys.allProgress(),
-                JobKeys.MEMBERS,
-                JobKeys.entry(""),
-                JobKeys.capacity(""));
+                SchedulerKeys.upkeep(1).replace("1", ""),
+                SchedulerKeys.report(""),
+                SchedulerKeys.inputs("clips"),
+                SchedulerKeys.allInputs(),
+                SchedulerKeys.allProgress(),
+                SchedulerKeys.MEMBERS,
+                SchedulerKeys.entry(""),
+                SchedulerKeys.capacity(""));
     }
 
     @Property(tries = 300)
@@ -83,11 +83,11 @@
 
     @Example
     void ofOursAreWhatTheyWere() {
-        assertEquals(Optional.of(7L), JobKeys.upkeepOf(JobKeys.upkeep(7)));
-        String key = JobKeys.evacuation("clips", "w1");
-        assertTrue(JobKeys.isEvacuation(key));
-        assertEquals("clips", JobKeys.evacuatedService(key));
-        assertEquals("w1", JobKeys.evacuatedWorker(key));
+        assertEquals(Optional.of(7L), SchedulerKeys.upkeepOf(SchedulerKeys.upkeep(7)));
+        String key = SchedulerKeys.evacuation("clips", "w1");
+        assertTrue(SchedulerKeys.isEvacuation(key));
+        assertEquals("clips", SchedulerKeys.evacuatedService(key));
+        assertEquals("w1", SchedulerKeys.evacuatedWorker(key));
         assertEquals(Optional.of(InstanceOperation.upkeep(7)), InstanceOperation.parse("UPKEEP:7"));
         assertEquals(Optional.of(InstanceOperation.move("clips")), InstanceOperation.parse("MOVE:clips"));
     }
--- a/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/PersistencePassTest.java
@@ -160,7 +160,7 @@
             d.port.saves.clear();
             for (List<SchedulerPort.ProgressWrite> batch : all) {
                 if (batch.stream()
-                        .anyMatch(s -> s.job().id().equals(job) && !s.progress().over())) {
+                        .anyMatch(s -> s.job().id().equals(job) && !s.progress().finished())) {
                     d.scheduler.onSaveRejected(batch);
                 } else {
                     d.scheduler.onSaved(batch);
--- a/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/ServiceSchedulerTest.java
@@ -903,7 +903,7 @@
         private int rows(SchedulerPort.ProgressWrite s) {
             int condition = 1;
             int record = 1;
-            int smallJob = s.progress().over() ? 1 : 0;
+            int smallJob = s.progress().finished() ? 1 : 0;
             return condition + record + smallJob;
         }
 
--- a/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/run/WorkerRestartTest.java
@@ -512,7 +512,7 @@
             listInFirstIncarnation("w1");
             submitAndStart("a");
             d.submit("b", ONE);
-            assertEquals(FIRST_BIRTH, lastRecord().knownWorkerBornMillis());
+            assertEquals(FIRST_BIRTH, lastRecord().knownWorkerStartMillis());
         }
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/EvacuationFeed.java
@@ -23,7 +23,7 @@
 import java.util.function.BiConsumer;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.common.Unreadable;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.daemon.common.EventLoop;
 import org.lupinpaddle.daemon.common.Log;
@@ -71,7 +71,7 @@
         this.unreadable = unreadable;
         this.onChange = onChange;
         watch = new PrefixWatch(
-                store, loop, JobKeys.evacuations(service), PrefixWatch.Listener.forAnyChange(this::changed));
+                store, loop, SchedulerKeys.evacuations(service), PrefixWatch.Listener.forAnyChange(this::changed));
     }
 
     void start() {
@@ -88,7 +88,7 @@
         Map<String, StoreItem> previous = Map.copyOf(requests);
         requests.clear();
         unreadableWorkers.clear();
-        unreadable.retainOnly(JobKeys.evacuations(service), watch.items());
+        unreadable.retainOnly(SchedulerKeys.evacuations(service), watch.items());
         Set<String> urgent = new HashSet<>();
         for (StoreItem i : watch.items()) {
             EvacuationRecord r = unreadable.recordOrNull(Kind.EVACUATION, i, read(i));
@@ -110,7 +110,7 @@
      * depends on it may be about to be sent.
      */
     private void keepLastReadable(StoreItem i, Map<String, StoreItem> previous) {
-        String worker = JobKeys.evacuatedWorker(i.key());
+        String worker = SchedulerKeys.evacuatedWorker(i.key());
         StoreItem lastReadable = previous.get(worker);
         if (lastReadable != null) {
             requests.put(worker, lastReadable);
@@ -148,7 +148,7 @@
 
     /** Parses an evacuation request, or returns why it is unreadable. */
     static Either<Unreadable, EvacuationRecord> read(StoreItem i) {
-        return i.text().flatMap(t -> EvacuationRecord.read(t, JobKeys.evacuatedWorker(i.key())));
+        return i.text().flatMap(t -> EvacuationRecord.read(t, SchedulerKeys.evacuatedWorker(i.key())));
     }
 
     @Override
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FencedRecordWriter.java
@@ -21,7 +21,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.daemon.common.EventLoop;
 import org.lupinpaddle.daemon.common.Log;
 import org.lupinpaddle.daemon.port.CommitResult;
@@ -73,7 +73,7 @@
     FencedRecordWriter(KeyValueStore store, EventLoop loop, String duty, long fence) {
         this.store = store;
         this.loop = loop;
-        this.ownerKey = JobKeys.owner(duty);
+        this.ownerKey = SchedulerKeys.owner(duty);
         this.fence = fence;
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -37,7 +37,7 @@
 import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.RecentOrders;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
@@ -156,7 +156,7 @@
                 context.ownership::reachesStore,
                 () -> context.ownership.deferToOthers(JobNode.FLEET, fence, "the fleet's records cannot be read"));
         owned = new FencedRecordWriter(context.store, context.loop, JobNode.FLEET, fence);
-        records = new PrefixWatch(context.store, context.loop, JobKeys.fleet(), this);
+        records = new PrefixWatch(context.store, context.loop, SchedulerKeys.fleet(), this);
         waves = new PrefixWatch(
                 context.store,
                 context.loop,
@@ -257,7 +257,7 @@
     private void readEarlierOrders() {
         earlierOrdersRead = true;
         records.items().stream()
-                .filter(i -> i.key().equals(JobKeys.recentOrders()))
+                .filter(i -> i.key().equals(SchedulerKeys.recentOrders()))
                 .forEach(i -> {
                     owned.expectRevision(i.key(), i.revision());
                     RecentOrders r = recordOrNull(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
@@ -294,18 +294,18 @@
     }
 
     private void recordsChanged() {
-        context.unreadable.retainOnly(JobKeys.fleet(), records.items());
+        context.unreadable.retainOnly(SchedulerKeys.fleet(), records.items());
         Map<EvacuationRecord, String> evacuations = new HashMap<>();
         for (StoreItem i : records.items()) {
-            if (JobKeys.isEvacuation(i.key())) {
+            if (SchedulerKeys.isEvacuation(i.key())) {
                 owned.observeRevision(i.key(), i.revision());
                 EvacuationRecord r = recordOrNull(Kind.EVACUATION, i, EvacuationFeed.read(i));
                 if (r != null && owned.isCurrent(i.key(), i.revision())) {
-                    evacuations.put(r, JobKeys.evacuatedService(i.key()));
+                    evacuations.put(r, SchedulerKeys.evacuatedService(i.key()));
                 }
             }
-            JobKeys.reportOf(i.key()).ifPresent(s -> processReport(s, i));
-            JobKeys.upkeepOf(i.key()).ifPresent(w -> processUpkeep(w, i));
+            SchedulerKeys.reportOf(i.key()).ifPresent(s -> processReport(s, i));
+            SchedulerKeys.upkeepOf(i.key()).ifPresent(w -> processUpkeep(w, i));
         }
         planner.onEvacuations(evacuations);
     }
@@ -338,17 +338,17 @@
 
     @Override
     public void requestEvacuation(String service, EvacuationRecord record) {
-        write(Map.of(JobKeys.evacuation(service, record.worker()), RecordCodec.write(record)));
+        write(Map.of(SchedulerKeys.evacuation(service, record.worker()), RecordCodec.write(record)));
     }
 
     @Override
     public void endEvacuation(String service, String worker) {
-        write(Map.of(JobKeys.evacuation(service, worker), ""));
+        write(Map.of(SchedulerKeys.evacuation(service, worker), ""));
     }
 
     @Override
     public void writeUpkeep(long wave, UpkeepRecord record) {
-        write(Map.of(JobKeys.upkeep(wave), RecordCodec.write(record)));
+        write(Map.of(SchedulerKeys.upkeep(wave), RecordCodec.write(record)));
     }
 
     @Override
@@ -359,7 +359,7 @@
     @Override
     public void reportWaveCompleted(long wave, UpkeepRecord record) {
         write(Map.of(
-                JobKeys.upkeep(wave),
+                SchedulerKeys.upkeep(wave),
                 RecordCodec.write(record),
                 context.names.waveStatusKey(wave),
                 context.names.waveStatus(wave, true)));
@@ -405,7 +405,7 @@
     private void writeRecentOrders(Consumer<FencedRecordWriter.Outcome> onEnd) {
         writingOrders = true;
         String record = RecordCodec.write(ordered.record(context.loop.clock().millis()));
-        owned.write(Map.of(JobKeys.recentOrders(), record), outcome -> {
+        owned.write(Map.of(SchedulerKeys.recentOrders(), record), outcome -> {
             writingOrders = false;
             recordSaved = outcome == FencedRecordWriter.Outcome.SAVED;
             onEnd.accept(outcome);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobCommandExecutor.java
@@ -29,9 +29,9 @@
 import org.lupinpaddle.core.command.OperatorCommand;
 import org.lupinpaddle.core.common.Unreadable;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
@@ -78,11 +78,11 @@
         } else if (command instanceof OperatorCommand.JobExplain q) {
             return explain(q.id());
         } else if (command instanceof OperatorCommand.JobOwners) {
-            return store.range(JobKeys.MEMBERS).thenApply(JobCommandExecutor::owners);
+            return store.range(SchedulerKeys.MEMBERS).thenApply(JobCommandExecutor::owners);
         } else if (command instanceof OperatorCommand.JobWorkers) {
             return store.range(records.workerPrefix()).thenApply(this::workers);
         } else if (command instanceof OperatorCommand.JobUpkeep) {
-            return store.range(records.wavePrefix()).thenCombine(store.range(JobKeys.fleet()), this::upkeep);
+            return store.range(records.wavePrefix()).thenCombine(store.range(SchedulerKeys.fleet()), this::upkeep);
         }
         if (command instanceof OperatorCommand.JobUnreadable) {
             return unreadable.all().thenApply(l -> l.isEmpty() ? List.of("all entries can be read") : l);
@@ -100,8 +100,8 @@
      * been removed.
      */
     private CompletableFuture<List<StoredJob>> allJobs() {
-        return store.range(JobKeys.allInputs())
-                .thenCompose(inputs -> store.range(JobKeys.allProgress()).thenApply(progress -> {
+        return store.range(SchedulerKeys.allInputs())
+                .thenCompose(inputs -> store.range(SchedulerKeys.allProgress()).thenApply(progress -> {
                     Map<String, StoreItem> byKey = new TreeMap<>();
                     inputs.items().forEach(i -> byKey.put(i.key(), i));
                     progress.items().forEach(i -> byKey.put(i.key(), i));
@@ -112,21 +112,21 @@
     }
 
     private static Optional<StoredJob> toStoredJob(StoreItem i, Map<String, StoreItem> byKey) {
-        String service = JobKeys.serviceOfInput(i.key());
-        JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
+        String service = SchedulerKeys.serviceOfInput(i.key());
+        JobKey key = SchedulerKeys.jobOf(service, i.key()).orElse(null);
         if (key == null) {
             return Optional.empty();
         }
         JobSpec spec = i.read(JobSpec.class).getOrNull();
-        JobProgress progress = Optional.ofNullable(byKey.get(JobKeys.progress(service, key)))
+        JobProgress progress = Optional.ofNullable(byKey.get(SchedulerKeys.progress(service, key)))
                 .flatMap(p -> p.read(JobProgress.class).toJavaOptional())
                 .orElse(spec == null ? null : JobProgress.none(spec.acceptedMillis()));
-        boolean readable = spec != null || i.value().equals(JobSpec.OVER);
+        boolean readable = spec != null || i.value().equals(JobSpec.FINISHED_MARKER);
         if (progress == null || !readable) {
             return Optional.empty();
         }
         return Optional.of(
-                new StoredJob(key, service, spec, progress, byKey.containsKey(JobKeys.cancel(service, key))));
+                new StoredJob(key, service, spec, progress, byKey.containsKey(SchedulerKeys.cancel(service, key))));
     }
 
     private static List<String> formatJobs(List<StoredJob> all, List<String> unreadable) {
@@ -139,7 +139,7 @@
     }
 
     private CompletableFuture<List<String>> explain(String id) {
-        return allJobs().thenCombine(store.range(JobKeys.MEMBERS), (all, members) -> {
+        return allJobs().thenCombine(store.range(SchedulerKeys.MEMBERS), (all, members) -> {
             List<String> lines = new ArrayList<>();
             all.stream()
                     .filter(k -> k.key.id().equals(id))
@@ -157,7 +157,7 @@
 
     private static String ownerOf(String service, StoreRange members) {
         return members.items().stream()
-                .filter(i -> i.key().equals(JobKeys.owner(service)))
+                .filter(i -> i.key().equals(SchedulerKeys.owner(service)))
                 .map(StoreItem::value)
                 .findFirst()
                 .orElse("");
@@ -166,8 +166,8 @@
     private static List<String> owners(StoreRange members) {
         List<String> lines = new ArrayList<>();
         for (StoreItem i : members.items()) {
-            JobKeys.entryOf(i.key()).ifPresent(e -> lines.add("entry " + e));
-            JobKeys.ownedBy(i.key())
+            SchedulerKeys.entryOf(i.key()).ifPresent(e -> lines.add("entry " + e));
+            SchedulerKeys.dutyOf(i.key())
                     .ifPresent(d -> lines.add("duty " + d + "  owned by " + i.value() + "  fence " + i.revision()));
         }
         return lines.isEmpty() ? List.of("no entry is registered") : lines;
@@ -190,7 +190,7 @@
     private List<String> upkeep(StoreRange waves, StoreRange fleet) {
         Map<Long, UpkeepRecord> done = new TreeMap<>();
         fleet.items()
-                .forEach(i -> JobKeys.upkeepOf(i.key())
+                .forEach(i -> SchedulerKeys.upkeepOf(i.key())
                         .ifPresent(w -> i.read(UpkeepRecord.class).forEach(r -> done.put(w, r))));
         List<String> lines = new ArrayList<>();
         for (StoreItem i : waves.items()) {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobExplanation.java
@@ -72,7 +72,7 @@
         Map<TaskId, TaskRecord> tasks = new HashMap<>();
         progress.tasks().forEach(t -> tasks.put(new TaskId(t.time(), t.step(), t.index()), t));
         List<String> lines = new ArrayList<>();
-        for (int time = 0; time < spec.repeat().times(); time++) {
+        for (int time = 0; time < spec.repeat().repetitions(); time++) {
             for (int step = 0; step < spec.steps().size(); step++) {
                 lines.add(step(spec, tasks, time, step, wallMillis));
             }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobIntake.java
@@ -33,10 +33,10 @@
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.common.Unreadable;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.Submission;
 import org.lupinpaddle.core.queue.Admission;
 import org.lupinpaddle.core.queue.CallerRequest;
@@ -161,7 +161,7 @@
             return CompletableFuture.completedFuture(mayBeWritten ? SubmitOutcome.UNKNOWN : refused);
         }
         JobKey key = new JobKey(q.name(), h.id);
-        String at = JobKeys.job(q.service(), key);
+        String at = SchedulerKeys.job(q.service(), key);
         Submission s = h.job;
         JobSpec spec = new JobSpec(
                 key, q.service(), s.text(), s.steps(), s.repeat(), q.policy(), wall.millis(), a.workspace());
@@ -242,7 +242,7 @@
             return CompletableFuture.completedFuture(JobAnswer.NO_JOB);
         }
         String service = services.get(index);
-        return store.read(JobKeys.progress(service, key))
+        return store.read(SchedulerKeys.progress(service, key))
                 .thenComposeAsync(
                         p -> p.isPresent()
                                 ? CompletableFuture.completedFuture(stateOf(a, p.get()))
@@ -251,7 +251,7 @@
     }
 
     private CompletableFuture<JobAnswer> queuedIn(Admission a, List<String> services, int index, JobKey key) {
-        return store.read(JobKeys.job(services.get(index), key))
+        return store.read(SchedulerKeys.job(services.get(index), key))
                 .thenComposeAsync(
                         j -> j.isPresent()
                                 ? CompletableFuture.completedFuture(stateWithoutProgress(a, j.get()))
@@ -260,7 +260,7 @@
     }
 
     private static JobAnswer stateWithoutProgress(Admission a, StoreItem job) {
-        if (job.value().equals(JobSpec.OVER)) {
+        if (job.value().equals(JobSpec.FINISHED_MARKER)) {
             return JobAnswer.of(JobState.QUEUED);
         }
         return job.read(JobSpec.class)
@@ -290,7 +290,7 @@
             return CompletableFuture.completedFuture(JobAnswer.NO_JOB);
         }
         String service = services.get(index);
-        return store.read(JobKeys.job(service, key))
+        return store.read(SchedulerKeys.job(service, key))
                 .thenComposeAsync(
                         j -> j.isPresent()
                                 ? cancelIfAccessible(a, service, key, j.get())
@@ -348,7 +348,7 @@
         if (spec.isRight()) {
             return CompletableFuture.completedFuture(JobAccess.of(a, spec.get().workspace()));
         }
-        return store.read(JobKeys.progress(service, key))
+        return store.read(SchedulerKeys.progress(service, key))
                 .thenApply(p -> p.map(i -> i.read(JobProgress.class)
                                 .fold(
                                         unreadable -> JobAccess.UNKNOWN,
@@ -358,7 +358,7 @@
 
     private CompletableFuture<JobAnswer> writeCancel(String service, JobKey key, int attempt) {
         StoreCommit commit = StoreCommit.builder()
-                .put(JobKeys.cancel(service, key), key.toString())
+                .put(SchedulerKeys.cancel(service, key), key.toString())
                 .build();
         return store.commit(commit)
                 .thenComposeAsync(
@@ -375,7 +375,7 @@
 
     /** Counts the accepted jobs of a queue that have not started; empty if the store cannot be read. */
     public CompletableFuture<OptionalInt> pending(QueueConfig q) {
-        return store.read(JobKeys.owner(q.service()))
+        return store.read(SchedulerKeys.owner(q.service()))
                 .thenComposeAsync(
                         owner -> owner.map(o -> pendingFromReport(q, o)).orElseGet(() -> pendingFromStore(q)),
                         loop::execute)
@@ -390,7 +390,7 @@
      * owner is still reading the stored jobs.
      */
     private CompletableFuture<OptionalInt> pendingFromReport(QueueConfig q, StoreItem owner) {
-        return store.read(JobKeys.report(q.service()))
+        return store.read(SchedulerKeys.report(q.service()))
                 .thenComposeAsync(
                         item -> item.filter(i -> i.revision() > owner.revision())
                                 .flatMap(i -> i.read(ServiceReport.class).toJavaOptional())
@@ -421,13 +421,13 @@
 
     /** Counts the jobs without progress; these are the pending ones, since no job starts without an owner. */
     private CompletableFuture<OptionalInt> readCount(QueueConfig q) {
-        String jobPrefix = JobKeys.job(q.service(), new JobKey(q.name(), ""));
-        String progressPrefix = JobKeys.progress(q.service(), new JobKey(q.name(), ""));
+        String jobPrefix = SchedulerKeys.job(q.service(), new JobKey(q.name(), ""));
+        String progressPrefix = SchedulerKeys.progress(q.service(), new JobKey(q.name(), ""));
         return store.range(jobPrefix).thenCombine(store.range(progressPrefix), (j, p) -> {
             Map<String, Boolean> known = new HashMap<>();
             p.items().forEach(i -> known.put(i.key().substring(progressPrefix.length()), true));
             long waiting = j.items().stream()
-                    .filter(i -> !i.value().equals(JobSpec.OVER))
+                    .filter(i -> !i.value().equals(JobSpec.FINISHED_MARKER))
                     .filter(i -> !known.containsKey(i.key().substring(jobPrefix.length())))
                     .count();
             return OptionalInt.of((int) waiting);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/MemberRegistry.java
@@ -24,7 +24,7 @@
 import java.util.TreeSet;
 import java.util.UUID;
 import org.lupinpaddle.core.common.Clock;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.ownership.OwnerRank;
 import org.lupinpaddle.daemon.common.Log;
 import org.lupinpaddle.daemon.port.StoreItem;
@@ -81,7 +81,8 @@
             return !otherLife.equals(ownLife);
         }
         return watch.items().stream()
-                .anyMatch(i -> i.key().equals(JobKeys.entry(name)) && isDifferentLife(i.value(), name, otherLife));
+                .anyMatch(
+                        i -> i.key().equals(SchedulerKeys.entry(name)) && isDifferentLife(i.value(), name, otherLife));
     }
 
     /** Ignores registrations that do not name a life of the entry, since another writer may have written them. */
@@ -92,7 +93,7 @@
     /** Returns the registered entries, including this one. */
     Set<String> entries() {
         Set<String> all = new TreeSet<>();
-        watch.items().forEach(i -> JobKeys.entryOf(i.key()).ifPresent(all::add));
+        watch.items().forEach(i -> SchedulerKeys.entryOf(i.key()).ifPresent(all::add));
         all.add(entry);
         return all;
     }
@@ -112,7 +113,7 @@
     /** Returns the ownership records by duty. */
     Map<String, StoreItem> owners() {
         Map<String, StoreItem> owners = new HashMap<>();
-        watch.items().forEach(i -> JobKeys.ownedBy(i.key()).ifPresent(d -> owners.put(d, i)));
+        watch.items().forEach(i -> SchedulerKeys.dutyOf(i.key()).ifPresent(d -> owners.put(d, i)));
         return owners;
     }
 
@@ -131,7 +132,8 @@
     boolean hasOwnRecords(long lease) {
         long mine = watch.items().stream()
                 .filter(i -> i.lease() == lease)
-                .filter(i -> i.key().equals(JobKeys.entry(entry)) || i.key().equals(JobKeys.capacity(entry)))
+                .filter(i ->
+                        i.key().equals(SchedulerKeys.entry(entry)) || i.key().equals(SchedulerKeys.capacity(entry)))
                 .count();
         return mine == KEYS_PER_ENTRY;
     }
@@ -181,7 +183,7 @@
     private Map<String, Long> publishedCapacities() {
         Map<String, Long> all = new HashMap<>();
         watch.items()
-                .forEach(i -> JobKeys.capacityOf(i.key())
+                .forEach(i -> SchedulerKeys.capacityOf(i.key())
                         .ifPresent(name -> capacity(i).ifPresent(c -> all.put(name, c))));
         return all;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/OwnershipManager.java
@@ -27,7 +27,7 @@
 import java.util.TreeSet;
 import java.util.concurrent.CompletableFuture;
 import org.lupinpaddle.core.common.RendezvousHash;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.ownership.OwnerRank;
 import org.lupinpaddle.daemon.common.EventLoop;
 import org.lupinpaddle.daemon.common.Log;
@@ -134,7 +134,7 @@
         this.capacity = capacity;
         this.life = MemberRegistry.newLife(entry);
         this.listener = listener;
-        watch = new PrefixWatch(store, loop, JobKeys.MEMBERS, this);
+        watch = new PrefixWatch(store, loop, SchedulerKeys.MEMBERS, this);
         members = new MemberRegistry(watch, loop.clock(), entry, capacity);
         handOvers = new HandOverCoordinator(loop, listener);
     }
@@ -235,7 +235,7 @@
             return;
         }
         store.commit(StoreCommit.builder()
-                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), lease)
+                        .put(SchedulerKeys.capacity(entry), Long.toString(publishedCapacity()), lease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
@@ -280,8 +280,8 @@
     private void register() {
         long forLease = lease;
         store.commit(StoreCommit.builder()
-                        .put(JobKeys.entry(entry), life, forLease)
-                        .put(JobKeys.capacity(entry), Long.toString(publishedCapacity()), forLease)
+                        .put(SchedulerKeys.entry(entry), life, forLease)
+                        .put(SchedulerKeys.capacity(entry), Long.toString(publishedCapacity()), forLease)
                         .build())
                 .thenAcceptAsync(
                         r -> {
@@ -399,7 +399,7 @@
      */
     private void reacquire(String duty, long fence) {
         acquiring.add(duty);
-        String key = JobKeys.owner(duty);
+        String key = SchedulerKeys.owner(duty);
         store.commit(StoreCommit.builder()
                         .when(key, fence)
                         .put(key, entry, lease)
@@ -490,7 +490,7 @@
         endedFences.add(fence);
         listener.lost(duty, why);
         releasedFences.add(fence);
-        String key = JobKeys.owner(duty);
+        String key = SchedulerKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, fence).remove(key).build())
                 .thenAcceptAsync(
                         r -> {
@@ -520,7 +520,7 @@
             loop.after(due - now, () -> acquire(duty));
             return;
         }
-        String key = JobKeys.owner(duty);
+        String key = SchedulerKeys.owner(duty);
         store.commit(StoreCommit.builder().when(key, 0).put(key, entry, lease).build())
                 .thenAcceptAsync(r -> onAcquireResult(duty, r), loop::execute);
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.workspace.QuotaAllocation;
 import org.lupinpaddle.core.workspace.QuotaTable;
 import org.lupinpaddle.core.workspace.WorkspaceQuota;
@@ -71,7 +71,7 @@
     QuotaManager(SchedulerHost.Context entry, String service, long fence, Runnable onChange) {
         this.store = entry.store();
         this.loop = entry.loop();
-        this.ownerKey = JobKeys.owner(service);
+        this.ownerKey = SchedulerKeys.owner(service);
         this.fence = fence;
         this.workspaces = entry.workspaces();
         this.unreadable = entry.unreadable();
@@ -81,7 +81,7 @@
         watch = new PrefixWatch(
                 store,
                 loop,
-                JobKeys.quotas(),
+                SchedulerKeys.quotas(),
                 WATCH_BATCH_MILLIS,
                 PrefixWatch.Listener.forAnyChange(this::onAllocationsChanged));
         configure();
@@ -109,7 +109,7 @@
             return;
         }
         allocationsRead = true;
-        unreadable.retainOnly(JobKeys.quotas(), watch.items());
+        unreadable.retainOnly(SchedulerKeys.quotas(), watch.items());
         applyStored();
         onChange.run();
     }
@@ -119,7 +119,7 @@
         Map<String, StoreItem> items = new HashMap<>();
         watch.items().forEach(i -> items.put(i.key(), i));
         table.forEachLimited((name, q) -> {
-            StoreItem item = items.get(JobKeys.quota(name));
+            StoreItem item = items.get(SchedulerKeys.quota(name));
             if (item == null) {
                 q.onNoAllocation(watch.revision());
             } else {
@@ -165,8 +165,8 @@
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence).when(current.key(), current.revision());
         due.forEach((name, a) -> {
             WorkspaceQuota q = table.of(name);
-            b.when(JobKeys.quota(name), q.revision());
-            b.put(JobKeys.quota(name), RecordCodec.write(a));
+            b.when(SchedulerKeys.quota(name), q.revision());
+            b.put(SchedulerKeys.quota(name), RecordCodec.write(a));
             q.onWriteStarted(a);
         });
         writing = true;
@@ -186,7 +186,7 @@
                 retryAt = retryAfterConflict(r, current);
                 r.current()
                         .forEach(i -> due.keySet().stream()
-                                .filter(name -> JobKeys.quota(name).equals(i.key()))
+                                .filter(name -> SchedulerKeys.quota(name).equals(i.key()))
                                 .forEach(name -> applyStored(table.of(name), i)));
             }
             case LEASE_ENDED, REFUSED, UNKNOWN, REJECTED ->
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/RecoveredJobs.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/RecoveredJobs.java
@@ -24,8 +24,8 @@
 import java.util.stream.Stream;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.daemon.common.EventLoop;
 import org.lupinpaddle.daemon.jobs.UnreadableEntries.Kind;
 import org.lupinpaddle.daemon.port.StoreItem;
@@ -63,8 +63,8 @@
 
     /** Reads the progress of all jobs of the service. */
     void read(StoreRange all) {
-        unreadable.retainOnly(JobKeys.progress(service), all.items());
-        all.items().forEach(i -> JobKeys.progressOf(service, i.key()).ifPresent(job -> read(job, i)));
+        unreadable.retainOnly(SchedulerKeys.progress(service), all.items());
+        all.items().forEach(i -> SchedulerKeys.progressOf(service, i.key()).ifPresent(job -> read(job, i)));
     }
 
     private void read(JobKey job, StoreItem i) {
@@ -74,7 +74,7 @@
             unreadableJobs.add(job);
         } else {
             progress.put(job, p);
-            p.unreadablePart()
+            p.unreadableOptionalField()
                     .ifPresent(why -> unreadable.markUnreadable(
                             new UnreadableEntries.Entry(Kind.PROGRESS, i.key(), i.revision(), why)));
         }
@@ -95,7 +95,7 @@
 
     /** Returns how many of the jobs counted by {@link #unclaimedCount} are finished. */
     long finishedCount() {
-        return progress.values().stream().filter(JobProgress::over).count();
+        return progress.values().stream().filter(JobProgress::finished).count();
     }
 
     /** Removes and returns a job's progress; null if none is known. */
@@ -110,7 +110,7 @@
      */
     boolean isFinished(JobKey job) {
         JobProgress p = progress.get(job);
-        if (p != null && p.over()) {
+        if (p != null && p.finished()) {
             progress.remove(job);
             finished.put(job, loop.clock().millis() + RETENTION_MILLIS);
         }
@@ -133,6 +133,9 @@
     }
 
     private Stream<String> keysOf(JobKey job) {
-        return Stream.of(JobKeys.job(service, job), JobKeys.cancel(service, job), JobKeys.progress(service, job));
+        return Stream.of(
+                SchedulerKeys.job(service, job),
+                SchedulerKeys.cancel(service, job),
+                SchedulerKeys.progress(service, job));
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/SchedulerHost.java
@@ -34,8 +34,8 @@
 import org.lupinpaddle.core.common.Unreadable;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobSpec;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.run.AdviceRequest;
 import org.lupinpaddle.core.run.HoldOrder;
@@ -156,7 +156,7 @@
         records = new FencedRecordWriter(context.store, context.loop, service, fence);
         quotas = new QuotaManager(context, service, fence, this::requestTick);
         recovered = new RecoveredJobs(records, context.loop, service, context.unreadable);
-        inputs = new PrefixWatch(context.store, context.loop, JobKeys.inputs(service), this);
+        inputs = new PrefixWatch(context.store, context.loop, SchedulerKeys.inputs(service), this);
         evacuations = new EvacuationFeed(
                 context.store,
                 context.loop,
@@ -181,7 +181,7 @@
             return;
         }
         context.store
-                .range(JobKeys.progress(service), watchdog::onProgress)
+                .range(SchedulerKeys.progress(service), watchdog::onProgress)
                 .whenComplete((r, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.warn("progress-unread", "service", service, "why", StoreFailure.text(why));
@@ -206,7 +206,7 @@
         if (scheduler == null) {
             begin();
         }
-        context.unreadable.retainOnly(JobKeys.inputs(service), inputs.items());
+        context.unreadable.retainOnly(SchedulerKeys.inputs(service), inputs.items());
         processAll(List.copyOf(inputs.items()));
     }
 
@@ -272,9 +272,9 @@
         if (s == null) {
             return;
         }
-        JobKey key = JobKeys.jobOf(service, i.key()).orElse(null);
+        JobKey key = SchedulerKeys.jobOf(service, i.key()).orElse(null);
         // A reduced record never starts a job, even if no progress is known for it.
-        if (key != null && !recovered.isFinished(key) && !i.value().equals(JobSpec.OVER)) {
+        if (key != null && !recovered.isFinished(key) && !i.value().equals(JobSpec.FINISHED_MARKER)) {
             JobSpec spec = context.unreadable.recordOrNull(Kind.JOB, i, read(i, key));
             if (spec == null || recovered.isUnreadable(key)) {
                 s.onUnreadableJob(key);
@@ -286,14 +286,14 @@
 
     private Either<Unreadable, JobSpec> read(StoreItem i, JobKey key) {
         return i.read(JobSpec.class)
-                .flatMap(s -> s.isAt(service, key)
+                .flatMap(s -> s.isStoredUnder(service, key)
                         ? Either.right(s)
                         : Either.left(Unreadable.Reason.NOT_OF_ITS_KEY.in("key")));
     }
 
     private void processCancellation(StoreItem i) {
         if (scheduler != null) {
-            JobKeys.cancelled(service, i.key()).ifPresent(scheduler::onCancel);
+            SchedulerKeys.cancelledJobOf(service, i.key()).ifPresent(scheduler::onCancel);
         }
     }
 
@@ -441,9 +441,9 @@
         Map<String, String> values = new LinkedHashMap<>();
         Map<String, String> reduced = new LinkedHashMap<>();
         for (ProgressWrite s : batch) {
-            values.put(JobKeys.progress(service, s.job()), RecordCodec.write(s.progress()));
-            if (s.progress().over()) {
-                reduced.put(JobKeys.job(service, s.job()), JobSpec.OVER);
+            values.put(SchedulerKeys.progress(service, s.job()), RecordCodec.write(s.progress()));
+            if (s.progress().finished()) {
+                reduced.put(SchedulerKeys.job(service, s.job()), JobSpec.FINISHED_MARKER);
             }
         }
         records.write(values, reduced, outcome -> saved(batch, outcome));
@@ -528,7 +528,7 @@
         // Only one report is written at a time, since with a slow store the next write would conflict with the
         // revision of the previous one.
         reporting = true;
-        records.write(Map.of(JobKeys.report(service), RecordCodec.write(report)), outcome -> {
+        records.write(Map.of(SchedulerKeys.report(service), RecordCodec.write(report)), outcome -> {
             reporting = false;
             reported = outcome == FencedRecordWriter.Outcome.SAVED ? report : null;
         });
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntriesQuery.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/UnreadableEntriesQuery.java
@@ -23,9 +23,9 @@
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.common.Unreadable;
 import org.lupinpaddle.core.fleet.RecentOrders;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
 import org.lupinpaddle.daemon.port.KeyValueStore;
 import org.lupinpaddle.daemon.port.PlatformRecords;
@@ -55,15 +55,16 @@
         return check(records.configurationKey(), this::configuration)
                 .thenCombine(check(records.workerPrefix(), i -> why(records.worker(i))), UnreadableEntriesQuery::concat)
                 .thenCombine(check(records.wavePrefix(), i -> why(records.wave(i))), UnreadableEntriesQuery::concat)
-                .thenCombine(check(JobKeys.fleet(), UnreadableEntriesQuery::ofFleet), UnreadableEntriesQuery::concat)
+                .thenCombine(
+                        check(SchedulerKeys.fleet(), UnreadableEntriesQuery::ofFleet), UnreadableEntriesQuery::concat)
                 .thenCombine(ofJobs(), UnreadableEntriesQuery::concat);
     }
 
     /** Lists unreadable jobs and progress records; the schedulers leave such jobs alone. */
     CompletableFuture<List<String>> ofJobs() {
-        return check(JobKeys.allInputs(), UnreadableEntriesQuery::ofJob)
+        return check(SchedulerKeys.allInputs(), UnreadableEntriesQuery::ofJob)
                 .thenCombine(
-                        check(JobKeys.allProgress(), i -> why(i.read(JobProgress.class))),
+                        check(SchedulerKeys.allProgress(), i -> why(i.read(JobProgress.class))),
                         UnreadableEntriesQuery::concat);
     }
 
@@ -94,18 +95,19 @@
     }
 
     private static Optional<Unreadable> ofJob(StoreItem i) {
-        boolean isJob = JobKeys.jobOf(JobKeys.serviceOfInput(i.key()), i.key()).isPresent();
-        return isJob && !i.value().equals(JobSpec.OVER) ? why(i.read(JobSpec.class)) : Optional.empty();
+        boolean isJob = SchedulerKeys.jobOf(SchedulerKeys.serviceOfInput(i.key()), i.key())
+                .isPresent();
+        return isJob && !i.value().equals(JobSpec.FINISHED_MARKER) ? why(i.read(JobSpec.class)) : Optional.empty();
     }
 
     private static Optional<Unreadable> ofFleet(StoreItem i) {
-        if (JobKeys.isEvacuation(i.key())) {
+        if (SchedulerKeys.isEvacuation(i.key())) {
             return why(EvacuationFeed.read(i));
-        } else if (JobKeys.reportOf(i.key()).isPresent()) {
+        } else if (SchedulerKeys.reportOf(i.key()).isPresent()) {
             return why(i.read(ServiceReport.class));
-        } else if (JobKeys.upkeepOf(i.key()).isPresent()) {
+        } else if (SchedulerKeys.upkeepOf(i.key()).isPresent()) {
             return why(i.read(UpkeepRecord.class));
         }
-        return i.key().equals(JobKeys.recentOrders()) ? why(i.read(RecentOrders.class)) : Optional.empty();
+        return i.key().equals(SchedulerKeys.recentOrders()) ? why(i.read(RecentOrders.class)) : Optional.empty();
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -29,11 +29,11 @@
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Resources;
@@ -166,7 +166,7 @@
     }
 
     private SchedulerHost owner(String slowPrefix, long slowMillis) {
-        long fence = store.set(JobKeys.owner("clips"), "entry");
+        long fence = store.set(SchedulerKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, 7_000, 2_000, 10_000);
         SchedulerHost.Context context = new SchedulerHost.Context(
                 new SlowStore(slowPrefix, slowMillis),
@@ -199,7 +199,7 @@
     private void addEmptiedWorkerAndPendingJob() {
         addWorkerAndJob();
         EvacuationRecord emptied = new EvacuationRecord("w1", "m1", "MOVE:spare", true, true);
-        store.set(JobKeys.evacuation("clips", "w1"), RecordCodec.write(emptied));
+        store.set(SchedulerKeys.evacuation("clips", "w1"), RecordCodec.write(emptied));
     }
 
     private void addWorkerAndJob() {
@@ -210,13 +210,13 @@
         JobKey key = new JobKey("q", "a");
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobSpec spec = new JobSpec(key, "clips", "text", List.of(one), Repeat.ONCE, policy, 0);
-        store.set(JobKeys.job("clips", key), RecordCodec.write(spec));
+        store.set(SchedulerKeys.job("clips", key), RecordCodec.write(spec));
     }
 
     @Test
     void getsNoTaskFromASuccessorThatHasReadTheRequest() {
         addEmptiedWorkerAndPendingJob();
-        owner(JobKeys.evacuations("clips"), 0);
+        owner(SchedulerKeys.evacuations("clips"), 0);
         advance(1_000);
         assertEquals(List.of(), orders.startedOn);
     }
@@ -224,7 +224,7 @@
     @Test
     void getsNoTaskBeforeTheSuccessorHasReadTheRequests() {
         addEmptiedWorkerAndPendingJob();
-        owner(JobKeys.evacuations("clips"), 300);
+        owner(SchedulerKeys.evacuations("clips"), 300);
         advance(1_000);
         assertTrue(orders.startedOn.isEmpty(), "the instance of a worker reported as empty may be moved at any moment");
     }
@@ -243,7 +243,7 @@
     @Test
     void receivedResultIsWrittenAfterTheHostCloses() {
         addWorkerAndJob();
-        SchedulerHost host = owner(JobKeys.evacuations("clips"), 0);
+        SchedulerHost host = owner(SchedulerKeys.evacuations("clips"), 0);
         TaskId first = new TaskId(0, 0, 0);
         orders.running = List.of(new RunStatus("a", first, 1, "", 50, -1));
         advance(1_000);
@@ -256,8 +256,8 @@
         host.close();
         advance(1_000);
         JobProgress left = RecordCodec.read(
-                        store.value(JobKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
+                        store.value(SchedulerKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
                 .get();
-        assertTrue(left.over(), "received some milliseconds before the hand-over: " + left);
+        assertTrue(left.finished(), "received some milliseconds before the hand-over: " + left);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EvacuationFeedTest.java
@@ -22,16 +22,16 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 
 class EvacuationFeedTest {
 
-    private static final String KEY = JobKeys.evacuation("clips", "w1");
+    private static final String KEY = SchedulerKeys.evacuation("clips", "w1");
     private static final String REQUEST = RecordCodec.write(new EvacuationRecord("w1", "m1", "UPKEEP:1", false, false));
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
-    private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
+    private final long fence = store.set(SchedulerKeys.owner("clips"), "entry-1");
     private final DirectLoop loop = new DirectLoop();
     private final Set<String> wanted = new HashSet<>();
     private final EvacuationFeed feed = new EvacuationFeed(
@@ -89,7 +89,7 @@
 
         @Test
         void underTheKeyOfAnotherWorkerIsIgnored() {
-            store.set(JobKeys.evacuation("clips", "w2"), REQUEST);
+            store.set(SchedulerKeys.evacuation("clips", "w2"), REQUEST);
             feed.start();
             assertEquals(Set.of(), wanted);
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FakeKeyValueStore.java
@@ -25,7 +25,7 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Stream;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.daemon.port.CommitResult;
 import org.lupinpaddle.daemon.port.KeyValueStore;
 import org.lupinpaddle.daemon.port.StoreChanges;
@@ -121,7 +121,7 @@
     /** Returns whether a write of the fleet's recent orders waits for its answer. */
     boolean hasDelayedRecentOrders() {
         return delayed.stream()
-                .anyMatch(d -> d.commit.puts().stream().anyMatch(p -> p.key().equals(JobKeys.recentOrders())));
+                .anyMatch(d -> d.commit.puts().stream().anyMatch(p -> p.key().equals(SchedulerKeys.recentOrders())));
     }
 
     @Override
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
@@ -22,7 +22,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /** Tests both conditions of an owner's writes; without either of them, a test fails. */
 class FencedRecordWriterTest {
@@ -31,7 +31,7 @@
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final List<FencedRecordWriter.Outcome> outcomes = new ArrayList<>();
-    private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
+    private final long fence = store.set(SchedulerKeys.owner("clips"), "entry-1");
     private final FencedRecordWriter records = new FencedRecordWriter(store, new DirectLoop(), "clips", fence);
 
     private void write(String value) {
@@ -44,7 +44,7 @@
         @Test
         void isRequiredForAWrite() {
             write("mine");
-            store.set(JobKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
             write("no longer owner");
             assertEquals("mine", store.value(KEY));
             assertEquals(List.of(FencedRecordWriter.Outcome.SAVED, FencedRecordWriter.Outcome.NOT_OWNER), outcomes);
@@ -54,7 +54,7 @@
         void thatWasLostRejectsALateWrite() {
             store.dropsCommitAnswers = true;
             write("late");
-            store.set(JobKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
             store.applyDroppedCommits();
             assertEquals("", store.value(KEY));
         }
@@ -150,7 +150,7 @@
         @Test
         void stopWhenTheDutyIsOwnedElsewhere() {
             int[] lost = new int[1];
-            store.set(JobKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
             records.writeInOrder(Map.of(KEY, "running"), () -> lost[0]++);
             assertEquals(1, lost[0]);
             assertEquals("", store.value(KEY));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHandOverTest.java
@@ -30,7 +30,7 @@
 import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
@@ -87,7 +87,7 @@
                 timing,
                 new JobMetrics(),
                 new UnreadableEntries(new JobMetrics()));
-        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
+        FleetHost host = new FleetHost(context, store.set(SchedulerKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
@@ -101,7 +101,7 @@
 
     @Test
     void doesNotShortenTheWaitForARunningEarlierOwner() {
-        store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
+        store.set(SchedulerKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         FleetHost first = owner("entry-1");
         advance(300);
         first.close();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FleetHostTest.java
@@ -32,7 +32,7 @@
 import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
@@ -83,7 +83,7 @@
     @BeforeEach
     void requestInstance() {
         ServiceReport report = new ServiceReport(Map.of(), 1, 1, 0, List.of());
-        store.set(JobKeys.report("clips"), RecordCodec.write(report));
+        store.set(SchedulerKeys.report("clips"), RecordCodec.write(report));
     }
 
     private FleetHost owner(String name) {
@@ -102,7 +102,7 @@
                 timing,
                 new JobMetrics(),
                 new UnreadableEntries(new JobMetrics()));
-        FleetHost host = new FleetHost(context, store.set(JobKeys.owner(JobNode.FLEET), name));
+        FleetHost host = new FleetHost(context, store.set(SchedulerKeys.owner(JobNode.FLEET), name));
         host.start(List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true)));
         return host;
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/HandOverTest.java
@@ -26,7 +26,7 @@
 import org.lupinpaddle.core.capacity.ServiceReport;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.fleet.PlatformInstance;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /**
  * Guards against losing a received result in a planned stop. An entry that ended its lease at once also removed the
@@ -137,7 +137,8 @@
 
         private void requestInstance() {
             f.instances.all = List.of(new PlatformInstance("m1", "spare", PlatformInstance.State.UP, "north", ""));
-            f.store.set(JobKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
+            f.store.set(
+                    SchedulerKeys.report("clips"), RecordCodec.write(new ServiceReport(Map.of(), 1, 1, 0, List.of())));
         }
 
         /**
@@ -161,7 +162,7 @@
             }
             f.advance(500);
             assertTrue(f.instances.orders.isEmpty(), "a stopping owner must not order instances");
-            assertFalse(f.store.value(JobKeys.recentOrders()).contains("m1"), "the instance was not ordered");
+            assertFalse(f.store.value(SchedulerKeys.recentOrders()).contains("m1"), "the instance was not ordered");
             assertFalse(f.owns(DUTY));
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /** Tests the answers to operators' commands about jobs, which are read from the store alone. */
 class JobCommandExecutorTest {
@@ -55,12 +55,14 @@
 
         @Test
         void isListedWithItsError() {
-            store.set(JobKeys.job("clips", A), "{}");
-            store.setNonText(JobKeys.progress("clips", A));
+            store.set(SchedulerKeys.job("clips", A), "{}");
+            store.setNonText(SchedulerKeys.progress("clips", A));
             List<String> lines = answer("job list");
             assertEquals(2, lines.size(), lines.toString());
-            assertTrue(lines.get(0).startsWith(JobKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
-            assertTrue(lines.get(1).startsWith(JobKeys.progress("clips", A) + "  unreadable: not-text"), lines.get(1));
+            assertTrue(lines.get(0).startsWith(SchedulerKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
+            assertTrue(
+                    lines.get(1).startsWith(SchedulerKeys.progress("clips", A) + "  unreadable: not-text"),
+                    lines.get(1));
         }
 
         @Test
@@ -70,14 +72,14 @@
                     FakeRecords.CONFIGURATION,
                     "worker/w1",
                     "wave/1",
-                    JobKeys.evacuation("clips", "w1"),
-                    JobKeys.report("clips"),
-                    JobKeys.upkeep(1),
-                    JobKeys.recentOrders(),
-                    JobKeys.job("clips", A),
-                    JobKeys.progress("clips", A));
+                    SchedulerKeys.evacuation("clips", "w1"),
+                    SchedulerKeys.report("clips"),
+                    SchedulerKeys.upkeep(1),
+                    SchedulerKeys.recentOrders(),
+                    SchedulerKeys.job("clips", A),
+                    SchedulerKeys.progress("clips", A));
             keys.forEach(k -> store.set(k, "[]"));
-            store.set(JobKeys.cancel("clips", A), "");
+            store.set(SchedulerKeys.cancel("clips", A), "");
             List<String> lines = answer("job unreadable");
             assertEquals(
                     new TreeSet<>(keys),
@@ -91,8 +93,8 @@
     class FinishedJob {
 
         private void isOver(JobProgress p) {
-            store.set(JobKeys.job("clips", A), "over");
-            store.set(JobKeys.progress("clips", A), RecordCodec.write(p));
+            store.set(SchedulerKeys.job("clips", A), "over");
+            store.set(SchedulerKeys.progress("clips", A), RecordCodec.write(p));
         }
 
         @Test
@@ -106,7 +108,7 @@
         @Test
         void showsACancellationByItsCaller() {
             isOver(new JobProgress(JobState.CANCELLED, List.of(), "", 2_000));
-            store.set(JobKeys.cancel("clips", A), A.toString());
+            store.set(SchedulerKeys.cancel("clips", A), A.toString());
             assertTrue(answer("job explain a").get(1).startsWith("over for 7000 ms, cancelled by its caller"));
         }
 
@@ -118,7 +120,7 @@
 
         @Test
         void isUnknownOnceItsProgressIsGone() {
-            store.set(JobKeys.job("clips", A), "over");
+            store.set(SchedulerKeys.job("clips", A), "over");
             assertEquals(List.of("no jobs"), answer("job list"));
             assertTrue(answer("job explain a").get(0).startsWith("no such job"));
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -24,12 +24,12 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.Submission;
 import org.lupinpaddle.core.placement.Resources;
@@ -45,7 +45,7 @@
 /** Tests the answers that callers get when they submit, query and cancel jobs. */
 class JobIntakeTest {
 
-    private static final String JOB = JobKeys.job("clips", new JobKey("q", "a"));
+    private static final String JOB = SchedulerKeys.job("clips", new JobKey("q", "a"));
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final DirectLoop loop = new DirectLoop();
@@ -130,9 +130,9 @@
         void hasAnUnknownState() {
             store.set(JOB, "{}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.setNonText(JobKeys.progress("clips", job));
+            store.setNonText(SchedulerKeys.progress("clips", job));
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.set(JobKeys.progress("clips", job), "{\"state\":\"DONE\"}");
+            store.set(SchedulerKeys.progress("clips", job), "{\"state\":\"DONE\"}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
         }
 
@@ -158,9 +158,9 @@
 
         @Test
         void isNotCountedAsZero() {
-            store.set(JobKeys.owner("clips"), "entry");
-            store.set(JobKeys.report("clips"), "{\"pendingByQueue\":7}");
-            store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
+            store.set(SchedulerKeys.owner("clips"), "entry");
+            store.set(SchedulerKeys.report("clips"), "{\"pendingByQueue\":7}");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
@@ -173,7 +173,7 @@
         void end() {
             store.set(JOB, "over");
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0);
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
         }
 
         @Test
@@ -201,8 +201,8 @@
 
         @Test
         void isNotCountedAsPendingWithoutItsProgress() {
-            store.set(JobKeys.job("clips", new JobKey("q", "b")), "over");
-            store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "b")), "over");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
@@ -280,7 +280,7 @@
             Admission own = intake.admit(request("k1")).join();
             assertEquals(JobAnswer.of(JobState.QUEUED), intake.state(own, "a").join());
             JobProgress running = new JobProgress(JobState.RUNNING, List.of(), "", 0, "news");
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(running));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(running));
             assertEquals(JobAnswer.NO_JOB, intake.state(other, "a").join());
             assertEquals(JobAnswer.of(JobState.RUNNING), intake.state(own, "a").join());
         }
@@ -293,9 +293,9 @@
         void givesNoAccessToEndedJobsOfOtherWorkspaces() {
             configure(2, "k1");
             store.notifyWatches();
-            store.set(JOB, JobSpec.OVER);
+            store.set(JOB, JobSpec.FINISHED_MARKER);
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0, "news");
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
             Admission other = intake.admit(request("k9")).join();
             assertEquals(JobAnswer.NO_JOB, intake.cancel(other, "a").join());
             Admission own = intake.admit(request("k1")).join();
@@ -359,18 +359,18 @@
 
         @Test
         void comeFromTheOwnersReport() {
-            store.set(JobKeys.owner("clips"), "entry-2");
-            store.set(JobKeys.report("clips"), REPORT);
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.report("clips"), REPORT);
             assertEquals(7, intake.pending(queue).join().orElseThrow());
         }
 
         @Test
         void comeFromTheStoreBeforeANewOwnerReports() {
-            store.set(JobKeys.report("clips"), REPORT);
-            store.set(JobKeys.owner("clips"), "entry-2");
-            store.set(JobKeys.job("clips", new JobKey("q", "a")), "a job that waits");
-            store.set(JobKeys.job("clips", new JobKey("q", "b")), "a job that has begun");
-            store.set(JobKeys.progress("clips", new JobKey("q", "b")), "its progress");
+            store.set(SchedulerKeys.report("clips"), REPORT);
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "a")), "a job that waits");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "b")), "a job that has begun");
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "b")), "its progress");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/MemberRegistryTest.java
@@ -22,7 +22,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /** Tests the conclusions drawn from member records, including records replaced by another writer. */
 class MemberRegistryTest {
@@ -30,12 +30,12 @@
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final PrefixWatch watch =
-            new PrefixWatch(store, loop, JobKeys.MEMBERS, PrefixWatch.Listener.forAnyChange(() -> {}));
+            new PrefixWatch(store, loop, SchedulerKeys.MEMBERS, PrefixWatch.Listener.forAnyChange(() -> {}));
     private final MemberRegistry members = new MemberRegistry(watch, loop.clock(), "self", 500);
     private final String life = MemberRegistry.newLife("other");
 
     private boolean isEndedBy(String registered) {
-        store.set(JobKeys.entry("other"), registered);
+        store.set(SchedulerKeys.entry("other"), registered);
         return isEnded();
     }
 
@@ -59,7 +59,7 @@
             assertFalse(isEndedBy(""));
             assertFalse(isEndedBy("{}"));
             assertFalse(isEndedBy(MemberRegistry.newLife("third")));
-            store.setNonText(JobKeys.entry("other"));
+            store.setNonText(SchedulerKeys.entry("other"));
             assertFalse(isEnded());
         }
     }
@@ -69,8 +69,8 @@
 
         @Test
         void isOwnedEvenIfItsOwnerIsUnreadable() {
-            store.setNonText(JobKeys.owner("clips"));
-            store.set(JobKeys.owner("archive"), "");
+            store.setNonText(SchedulerKeys.owner("clips"));
+            store.set(SchedulerKeys.owner("archive"), "");
             isEnded();
             assertEquals(Set.of("clips", "archive"), members.owners().keySet());
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -30,11 +30,11 @@
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.core.placement.Resources;
@@ -172,7 +172,7 @@
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobKey key = new JobKey("q", id);
         JobSpec spec = new JobSpec(key, "clips", "text", List.of(steps), Repeat.ONCE, policy, 0);
-        store.set(JobKeys.job("clips", key), RecordCodec.write(spec));
+        store.set(SchedulerKeys.job("clips", key), RecordCodec.write(spec));
     }
 
     /** Starts the node, which then owns the service and the fleet, with one task running on each worker. */
@@ -204,13 +204,13 @@
     }
 
     boolean isRecordedAsFinished(String job) {
-        return RecordCodec.read(store.value(JobKeys.progress("clips", new JobKey("q", job))), JobProgress.class)
+        return RecordCodec.read(store.value(SchedulerKeys.progress("clips", new JobKey("q", job))), JobProgress.class)
                 .get()
-                .over();
+                .finished();
     }
 
     boolean owns(String duty) {
-        return !store.value(JobKeys.owner(duty)).isEmpty();
+        return !store.value(SchedulerKeys.owner(duty)).isEmpty();
     }
 
     /** Advances the time until the duty has no owner and returns how long that took. */
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnershipManagerTest.java
@@ -23,7 +23,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /** Tests that a duty is held under one fence from its acquisition to its end, and under a greater one after that. */
 class OwnershipManagerTest {
@@ -74,14 +74,17 @@
             assertTrue(fences.get(1) > fences.get(0));
             assertEquals(
                     fences.get(1),
-                    store.read(JobKeys.owner("clips")).join().orElseThrow().revision());
+                    store.read(SchedulerKeys.owner("clips"))
+                            .join()
+                            .orElseThrow()
+                            .revision());
         }
 
         @Test
         void isNotAcquiredIfAnotherEntryOwnsIt() {
             acquireClips();
             manager.giveUp("clips", fences.get(0), "a worker refused an order");
-            store.set(JobKeys.owner("clips"), "another entry");
+            store.set(SchedulerKeys.owner("clips"), "another entry");
             advance(SOON_MILLIS);
             assertEquals(1, fences.size());
         }
@@ -101,7 +104,7 @@
             store.applyDroppedCommits();
             advance(SOON_MILLIS);
             assertEquals(
-                    List.of(store.read(JobKeys.owner("clips"))
+                    List.of(store.read(SchedulerKeys.owner("clips"))
                             .join()
                             .orElseThrow()
                             .revision()),
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
@@ -25,7 +25,7 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.SchedulerTiming;
 import org.lupinpaddle.core.workspace.Workspace;
@@ -43,7 +43,7 @@
     private final QuotaManager manager = manager();
 
     private QuotaManager manager() {
-        long fence = store.set(JobKeys.owner("clips"), "entry");
+        long fence = store.set(SchedulerKeys.owner("clips"), "entry");
         long revision = store.set(FakeRecords.CONFIGURATION, "any");
         NodeFixture.Instances instances = new NodeFixture.Instances();
         SchedulerHost.Context entry = new SchedulerHost.Context(
@@ -88,7 +88,7 @@
             WorkspaceQuota q = addWaitingTask("news");
             runManager();
             assertTrue(q.mayPlace(TASK));
-            assertFalse(store.value(JobKeys.quota("news")).isEmpty());
+            assertFalse(store.value(SchedulerKeys.quota("news")).isEmpty());
         }
 
         /** Guards against withholding grants from a workspace whose quota a later configuration adds. */
@@ -120,7 +120,7 @@
         /** Guards against retrying a write that cannot succeed because ownership was lost. */
         @Test
         void attemptsOnlyOneWrite() {
-            store.set(JobKeys.owner("clips"), "another entry");
+            store.set(SchedulerKeys.owner("clips"), "another entry");
             addLimitedWorkspace("news", 4_000);
             WorkspaceQuota q = addWaitingTask("news");
             runManager();
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.TaskRecord;
 
 class RecoveredJobsTest {
@@ -38,7 +38,7 @@
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final DirectLoop loop = new DirectLoop();
-    private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
+    private final long fence = store.set(SchedulerKeys.owner("clips"), "entry-1");
     private final UnreadableEntries unreadable = new UnreadableEntries(new JobMetrics());
     private final RecoveredJobs jobs =
             new RecoveredJobs(new FencedRecordWriter(store, loop, "clips", fence), loop, "clips", unreadable);
@@ -48,12 +48,12 @@
         TaskRecord task = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "");
         set(OVER, new JobProgress(JobState.COMPLETED, List.of(), "", 0));
         set(LIVE, new JobProgress(JobState.CANCELLED, List.of(task), "", 0));
-        jobs.read(store.range(JobKeys.progress("clips")).join());
+        jobs.read(store.range(SchedulerKeys.progress("clips")).join());
     }
 
     private void set(JobKey job, JobProgress p) {
-        store.set(JobKeys.job("clips", job), "job");
-        store.set(JobKeys.progress("clips", job), RecordCodec.write(p));
+        store.set(SchedulerKeys.job("clips", job), "job");
+        store.set(SchedulerKeys.progress("clips", job), RecordCodec.write(p));
     }
 
     @Nested
@@ -74,7 +74,7 @@
             store.dropsCommitAnswers = false;
             jobs.removeExpired(List.of());
             assertFalse(jobs.isFinished(OVER));
-            assertEquals("", store.value(JobKeys.job("clips", OVER)));
+            assertEquals("", store.value(SchedulerKeys.job("clips", OVER)));
         }
     }
 
@@ -97,9 +97,9 @@
         @Test
         void isPassedToTheSchedulerAndReported() {
             store.set(
-                    JobKeys.progress("clips", COUNTED),
+                    SchedulerKeys.progress("clips", COUNTED),
                     "{\"state\":\"RUNNING\",\"tasks\":[[0,0,0,3,0,false,\"w1\",\"\",-2]],\"reason\":\"\",\"changedMillis\":0}");
-            jobs.read(store.range(JobKeys.progress("clips")).join());
+            jobs.read(store.range(SchedulerKeys.progress("clips")).join());
             assertFalse(jobs.isUnreadable(COUNTED));
             assertEquals(1, unreadable.snapshot().size());
             assertEquals(
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/SchedulerHostTest.java
@@ -32,12 +32,12 @@
 import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskRecord;
 import org.lupinpaddle.core.run.HoldOrder;
@@ -66,7 +66,7 @@
     private final TimedLoop loop = new TimedLoop();
 
     private SchedulerHost owner() {
-        long fence = store.set(JobKeys.owner("clips"), "entry");
+        long fence = store.set(SchedulerKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, INHERITED_MILLIS, 2_000, 10_000);
         SchedulerHost.Context context = new SchedulerHost.Context(
                 store,
@@ -95,11 +95,11 @@
         StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobSpec spec = new JobSpec(key(id), "clips", TEXT, List.of(one), Repeat.ONCE, policy, 0);
-        store.set(JobKeys.job("clips", key(id)), RecordCodec.write(spec));
+        store.set(SchedulerKeys.job("clips", key(id)), RecordCodec.write(spec));
     }
 
     private void cancel(String id) {
-        store.set(JobKeys.cancel("clips", key(id)), id);
+        store.set(SchedulerKeys.cancel("clips", key(id)), id);
     }
 
     private void advance(long millis) {
@@ -110,16 +110,16 @@
     }
 
     private JobProgress progress(String id) {
-        return RecordCodec.read(store.value(JobKeys.progress("clips", key(id))), JobProgress.class)
+        return RecordCodec.read(store.value(SchedulerKeys.progress("clips", key(id))), JobProgress.class)
                 .getOrElseThrow(why -> new IllegalStateException(why.toString()));
     }
 
     private String record(String id) {
-        return store.value(JobKeys.job("clips", key(id)));
+        return store.value(SchedulerKeys.job("clips", key(id)));
     }
 
     private List<StoreItem> recordsReadBySuccessor() {
-        return Stream.of(JobKeys.inputs("clips"), JobKeys.progress("clips"))
+        return Stream.of(SchedulerKeys.inputs("clips"), SchedulerKeys.progress("clips"))
                 .flatMap(p -> store.range(p).join().items().stream())
                 .toList();
     }
@@ -145,7 +145,7 @@
             owner();
             advance(SOON_MILLIS);
             for (int i = 0; i < JOBS; i++) {
-                assertTrue(progress("job-" + i).over());
+                assertTrue(progress("job-" + i).finished());
             }
             int bytes = bytesReadBySuccessor();
             assertTrue(bytes <= JOBS * MOST_BYTES_A_JOB, bytes + " bytes of " + JOBS + " finished jobs");
@@ -167,13 +167,13 @@
             SchedulerHost first = owner();
             advance(SOON_MILLIS);
             first.close();
-            String last = store.value(JobKeys.progress("clips", key("a")));
-            store.set(JobKeys.job("clips", key("lonely")), REDUCED);
+            String last = store.value(SchedulerKeys.progress("clips", key("a")));
+            store.set(SchedulerKeys.job("clips", key("lonely")), REDUCED);
             cancel("lonely");
             owner();
             advance(SOON_MILLIS);
-            assertEquals(last, store.value(JobKeys.progress("clips", key("a"))));
-            assertEquals("", store.value(JobKeys.progress("clips", key("lonely"))));
+            assertEquals(last, store.value(SchedulerKeys.progress("clips", key("a"))));
+            assertEquals("", store.value(SchedulerKeys.progress("clips", key("lonely"))));
         }
 
         @Test
@@ -205,29 +205,29 @@
         @Test
         void ofProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
-            store.set(JobKeys.progress("clips", key("a")), "{\"state\":\"HALF_DONE\"}");
+            store.set(SchedulerKeys.progress("clips", key("a")), "{\"state\":\"HALF_DONE\"}");
             assertNothingIsChanged();
         }
 
         @Test
         void ofNonTextProgressIsNeitherIgnoredNorOverwritten() {
             accept("a");
-            store.setNonText(JobKeys.progress("clips", key("a")));
+            store.setNonText(SchedulerKeys.progress("clips", key("a")));
             assertNothingIsChanged();
         }
 
         @Test
         void ofAJobIsNotOverwritten() {
-            store.set(JobKeys.job("clips", key("a")), "{\"key\":3}");
-            store.setNonText(JobKeys.job("clips", key("b")));
+            store.set(SchedulerKeys.job("clips", key("a")), "{\"key\":3}");
+            store.setNonText(SchedulerKeys.job("clips", key("b")));
             assertNothingIsChanged();
         }
 
         @Test
         void ofAJobUnderAnotherKeyIsIgnored() {
             accept("a");
-            store.set(JobKeys.job("clips", key("b")), record("a"));
-            store.remove(JobKeys.job("clips", key("a")));
+            store.set(SchedulerKeys.job("clips", key("b")), record("a"));
+            store.remove(SchedulerKeys.job("clips", key("a")));
             assertNothingIsChanged();
         }
 
@@ -235,11 +235,11 @@
         void doesNotBlockOtherJobs() {
             accept("a");
             accept("b");
-            store.setNonText(JobKeys.progress("clips", key("a")));
+            store.setNonText(SchedulerKeys.progress("clips", key("a")));
             cancel("b");
             owner();
             advance(SOON_MILLIS);
-            assertTrue(progress("b").over());
+            assertTrue(progress("b").finished());
         }
 
         @Test
@@ -248,15 +248,15 @@
             String good = record("a");
             JobProgress done =
                     new JobProgress(JobState.RUNNING, List.of(new TaskRecord(0, 0, 0, 4, 1, false, "", "")), "", 0);
-            store.set(JobKeys.progress("clips", key("a")), RecordCodec.write(done));
-            store.setNonText(JobKeys.job("clips", key("a")));
+            store.set(SchedulerKeys.progress("clips", key("a")), RecordCodec.write(done));
+            store.setNonText(SchedulerKeys.job("clips", key("a")));
             owner();
             advance(SOON_MILLIS);
-            store.set(JobKeys.job("clips", key("a")), good);
+            store.set(SchedulerKeys.job("clips", key("a")), good);
             advance(SOON_MILLIS);
             cancel("a");
             advance(SOON_MILLIS);
-            assertTrue(progress("a").over());
+            assertTrue(progress("a").finished());
         }
     }
 
@@ -274,7 +274,7 @@
             assertFalse(record("a").equals(REDUCED));
             store.dropsCommitAnswers = false;
             advance(SOON_MILLIS);
-            assertTrue(progress("a").over());
+            assertTrue(progress("a").finished());
             assertEquals(REDUCED, record("a"));
         }
 
@@ -284,14 +284,14 @@
             String whole = record("a");
             TaskRecord held = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "");
             store.set(
-                    JobKeys.progress("clips", key("a")),
+                    SchedulerKeys.progress("clips", key("a")),
                     RecordCodec.write(new JobProgress(JobState.CANCELLED, List.of(held), "", 0)));
             owner();
             advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
-            assertFalse(progress("a").over());
+            assertFalse(progress("a").finished());
             advance(2 * INHERITED_MILLIS);
-            assertTrue(progress("a").over());
+            assertTrue(progress("a").finished());
             assertEquals(REDUCED, record("a"));
         }
 
@@ -301,7 +301,7 @@
             String whole = record("a");
             owner();
             advance(SOON_MILLIS);
-            store.set(JobKeys.owner("clips"), "another entry");
+            store.set(SchedulerKeys.owner("clips"), "another entry");
             cancel("a");
             advance(SOON_MILLIS);
             assertEquals(whole, record("a"));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/StaleEvacuationAnswerTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.fleet.PlatformInstance;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepWave;
 
@@ -48,7 +48,7 @@
     }
 
     private String requestFor(String worker) {
-        return f.store.value(JobKeys.evacuation("clips", worker));
+        return f.store.value(SchedulerKeys.evacuation("clips", worker));
     }
 
     private boolean isReportedEmpty(String worker) {
@@ -68,7 +68,7 @@
         f.endRunOn("w1");
         f.advance(200);
         assertTrue(isReportedEmpty("w1"));
-        f.store.mutedPrefix = JobKeys.fleet();
+        f.store.mutedPrefix = SchedulerKeys.fleet();
         listInstance(PlatformInstance.State.DOWN);
         assertTrue(requestFor("w1").isEmpty(), "the errand must have ended");
         f.submit("next");
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/UnseenCancellationTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 
 /**
@@ -51,8 +51,8 @@
         submitTwoSteps("two");
         f.advance(500);
         assertEquals(2, f.workers.starts.size());
-        f.store.mutedPrefix = JobKeys.inputs("clips");
-        f.store.set(JobKeys.cancel("clips", new JobKey("q", "two")), "cancelled");
+        f.store.mutedPrefix = SchedulerKeys.inputs("clips");
+        f.store.set(SchedulerKeys.cancel("clips", new JobKey("q", "two")), "cancelled");
         f.advance(CANCEL_MILLIS);
         f.endRunOn("w2");
         f.advance(2_000);
@@ -66,7 +66,7 @@
         f.listWorker("w2", false);
         submitTwoSteps("two");
         f.advance(500);
-        f.store.mutedPrefix = JobKeys.inputs("clips");
+        f.store.mutedPrefix = SchedulerKeys.inputs("clips");
         f.advance(CANCEL_MILLIS);
         f.endRunOn("w2");
         f.advance(500);
--- a/model/src/main/java/org/lupinpaddle/model/CorruptRecordWriter.java
+++ b/model/src/main/java/org/lupinpaddle/model/CorruptRecordWriter.java
@@ -16,7 +16,7 @@
 package org.lupinpaddle.model;
 
 import java.util.Random;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
 /**
  * Writes malformed records into the store: over the records of workers, under the ids of workers that do not exist, and
@@ -62,7 +62,7 @@
         switch (random.nextInt(4)) {
             case 0, 1 -> world.fleet.corruptRecord(worker(), value(), 1 + random.nextInt(MAX_CORRUPT_MILLIS));
             case 2 -> putTemporarily(World.WORKERS + "nobody-" + random.nextInt(5));
-            default -> putTemporarily(JobKeys.evacuation("clips", "nobody-" + random.nextInt(5)));
+            default -> putTemporarily(SchedulerKeys.evacuation("clips", "nobody-" + random.nextInt(5)));
         }
         world.time.schedule(INTERVAL_MILLIS, this::write);
     }
--- a/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
+++ b/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
@@ -19,7 +19,7 @@
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.TaskId;
 import org.lupinpaddle.daemon.port.StoreItem;
 
@@ -76,9 +76,9 @@
         Set<String> all = new TreeSet<>();
         for (String s : world.site.services()) {
             long ownerRevision =
-                    world.store.read(JobKeys.owner(s)).map(StoreItem::revision).orElse(World.NEVER);
+                    world.store.read(SchedulerKeys.owner(s)).map(StoreItem::revision).orElse(World.NEVER);
             long reportRevision =
-                    world.store.read(JobKeys.report(s)).map(StoreItem::revision).orElse(0L);
+                    world.store.read(SchedulerKeys.report(s)).map(StoreItem::revision).orElse(0L);
             if (reportRevision < ownerRevision) {
                 all.add(s);
             }
--- a/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStorePort.java
@@ -24,7 +24,7 @@
 import java.util.function.Supplier;
 import java.util.function.ToLongFunction;
 import org.jspecify.annotations.Nullable;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.daemon.port.CommitResult;
 import org.lupinpaddle.daemon.port.KeyValueStore;
 import org.lupinpaddle.daemon.port.StoreChanges;
@@ -82,7 +82,7 @@
             return items;
         }
         return items.stream()
-                .filter(i -> !i.key().equals(JobKeys.recentOrders()))
+                .filter(i -> !i.key().equals(SchedulerKeys.recentOrders()))
                 .toList();
     }
 
@@ -119,10 +119,10 @@
     private static StoreCommit withoutQuotas(StoreCommit c) {
         return new StoreCommit(
                 c.conditions().stream()
-                        .filter(w -> !w.key().startsWith(JobKeys.quotas()))
+                        .filter(w -> !w.key().startsWith(SchedulerKeys.quotas()))
                         .toList(),
                 c.puts().stream()
-                        .filter(p -> !p.key().startsWith(JobKeys.quotas()))
+                        .filter(p -> !p.key().startsWith(SchedulerKeys.quotas()))
                         .toList(),
                 c.removals());
     }
--- a/model/src/main/java/org/lupinpaddle/model/World.java
+++ b/model/src/main/java/org/lupinpaddle/model/World.java
@@ -21,7 +21,7 @@
 import java.util.Random;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
 import org.lupinpaddle.core.job.StepSpec;
@@ -192,12 +192,12 @@
 
     /** Returns the owner of a duty according to the store, or an empty string if it has none. */
     String owner(String duty) {
-        return store.read(JobKeys.owner(duty)).map(StoreItem::value).orElse("");
+        return store.read(SchedulerKeys.owner(duty)).map(StoreItem::value).orElse("");
     }
 
     /** Returns the fencing token of a duty's owner, or 0 if it has none. */
     long fence(String duty) {
-        return store.read(JobKeys.owner(duty)).map(StoreItem::revision).orElse(0L);
+        return store.read(SchedulerKeys.owner(duty)).map(StoreItem::revision).orElse(0L);
     }
 
     SimEntry entry(String name) {
