--- a/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/RetryBudget.java
@@ -17,7 +17,8 @@
 
 /**
  * Limits retries to a fraction of new requests, so that retries cannot multiply a load that already overloads the
- * workers. It is a token bucket: each new request adds a fraction of a token, and each retry takes a whole one; see "Handling Overload" in Site Reliability Engineering (Beyer et al., 2016).
+ * workers. It is a token bucket: each new request adds a fraction of a token, and each retry takes a whole one; see
+ * "Handling Overload" in Site Reliability Engineering (Beyer et al., 2016).
  */
 public final class RetryBudget {
 
--- a/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/ClaimExperiment.java
@@ -18,7 +18,7 @@
 import java.util.Locale;
 import org.jspecify.annotations.Nullable;
 
-/** Counts the simulated histories in which a job that must not be repeated runs more than once, with and without claims. */
+/** Counts the simulated histories in which a non-repeatable job runs more than once, with and without claims. */
 public final class ClaimExperiment {
 
     private static final int HISTORIES = 20_000;
--- a/core/src/test/java/org/lupinpaddle/core/request/JobSimulation.java
+++ b/core/src/test/java/org/lupinpaddle/core/request/JobSimulation.java
@@ -27,8 +27,8 @@
 import org.lupinpaddle.core.request.RequestEvent.ClaimResult;
 
 /**
- * Simulates a job that its caller submits to several entries, the workers that run it, and a network and a store that lose
- * messages at random. The order of all events follows from a seed. A rule can be disabled, to verify that the checks
+ * Simulates a job that its caller submits to several entries, the workers that run it, and a network and a store that
+ * lose messages at random. The order of all events follows from a seed. A rule can be disabled, to verify that the checks
  * detect its absence.
  */
 final class JobSimulation {
