--- a/core/src/main/java/org/lupinpaddle/core/job/EndKind.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/EndKind.java
@@ -17,19 +17,19 @@
 
 /** How a run of a task ended on its worker. */
 public enum EndKind {
-    /** The task did its work. */
+    /** The task completed. */
     DONE(true, false),
-    /** The run failed, by its own fault or the worker's. */
+    /** The run failed because of the task or its worker. */
     FAILED(false, true),
-    /** The run was stopped by an order. */
+    /** The run was stopped on request. */
     STOPPED(false, false),
-    /** The deadline up to which the worker may keep the run has passed. */
+    /** The deadline until which the worker may keep the run has passed. */
     LAPSED(false, false),
-    /** Its worker is gone, and all that ran there with it. */
+    /** The worker was lost together with all its runs. */
     WORKER_LOST(false, false),
     /** Another member of the gang ended. */
     BROKEN(false, false),
-    /** The other members of the gang did not appear in time. */
+    /** The other members of the gang did not start in time. */
     ALONE(false, false);
 
     private final boolean finishes;
@@ -45,7 +45,7 @@
         return finishes;
     }
 
-    /** Returns whether the end uses up one of the task's attempts. */
+    /** Returns whether the end counts against the task's maximum number of attempts. */
     public boolean countsAsAttempt() {
         return countsAsAttempt;
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/JobKey.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobKey.java
@@ -16,10 +16,10 @@
 package org.lupinpaddle.core.job;
 
 /**
- * Names one job. Ids are chosen by callers and belong to a queue: the same id on two queues is two jobs.
+ * Identifies a job. Callers choose ids, which are unique within a queue: the same id in two queues identifies two jobs.
  *
  * @param queue the queue's name in the configuration
- * @param id the caller's id of the job
+ * @param id the id that the caller chose for the job
  */
 public record JobKey(String queue, String id) {
 
--- a/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobProgress.java
@@ -23,14 +23,15 @@
 import org.lupinpaddle.core.common.Unreadable;
 
 /**
- * How far a job is; the small record beside the immutable {@link JobSpec}, written by its service's owner.
+ * The progress of a job. It is stored separately from the immutable {@link JobSpec} and written by the
+ * owner of the job's service.
  *
- * @param state as callers are told
- * @param tasks the tasks that have been placed at least once; of a job that has ended, those still on workers
+ * @param state the state that is reported to callers
+ * @param tasks the tasks that have been placed at least once; after the job has ended, those that workers still hold
  * @param reason why the job failed; empty otherwise
- * @param changedMillis when the state last changed, in milliseconds since 1970
- * @param workspace the workspace that the job belongs to, copied from {@link JobSpec}, whose record does not outlast
- *     the job; null for none
+ * @param changedMillis the time of the last state change, in milliseconds since 1970
+ * @param workspace the workspace that the job belongs to, copied from {@link JobSpec}, whose record is
+ *     discarded when the job is finished; null for none
  */
 public record JobProgress(
         JobState state,
@@ -45,7 +46,7 @@
         this(state, tasks, reason, changedMillis, null);
     }
 
-    /** Returns what is true of a job that no owner has written of yet. */
+    /** Returns the progress of a job for which no owner has written any yet. */
     public static JobProgress none(long acceptedMillis) {
         return new JobProgress(JobState.QUEUED, List.of(), "", acceptedMillis);
     }
@@ -58,8 +59,8 @@
     }
 
     /**
-     * Returns what is wrong with a part that the rest can do without: counts of crashes begin anew, and of the lives of
-     * workers nothing is known.
+     * Returns the reason why an optional field is unreadable. The record is used without it: unreadable crash counts
+     * start again at 0, and unreadable start times of workers are unknown.
      */
     public Optional<Unreadable> unreadableOptionalField() {
         if (tasks.stream().anyMatch(TaskRecord::hasUnreadableCrashes)) {
@@ -70,7 +71,7 @@
                 : Optional.empty();
     }
 
-    /** Returns whether the job has ended and no worker holds anything of it. */
+    /** Returns whether the job has ended and no worker holds any of its tasks. */
     public boolean finished() {
         return state.ended() && tasks.isEmpty();
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobSpec.java
@@ -23,15 +23,15 @@
 import org.lupinpaddle.core.common.Unreadable;
 
 /**
- * A job as it was accepted. It lies in the store under its key and never changes.
+ * A job as it was accepted. It is stored under its key and never changes until the job is finished.
  *
- * @param key the job's name
- * @param service whose workers run it: the service of its queue when it was accepted
- * @param text what the caller wants each task to be told, handed on as it is
+ * @param key the job's key
+ * @param service the service whose workers run it, which is the service of its queue at the time of acceptance
+ * @param text the caller's text for each task, passed on unchanged
  * @param steps the steps, in the caller's order
- * @param repeat when the steps are run
- * @param policy what the configuration said of its queue
- * @param acceptedMillis when it was accepted, in milliseconds since 1970 by the accepting entry's clock
+ * @param repeat the schedule of the repetitions
+ * @param policy the policy of its queue at the time of acceptance
+ * @param acceptedMillis the time of acceptance, in milliseconds since 1970 by the accepting entry's clock
  * @param workspace the name of the workspace that the job belongs to; null for a job of a public queue and in records
  *     written by versions without workspaces
  */
@@ -46,8 +46,8 @@
         @JsonInclude(JsonInclude.Include.NON_NULL) @Nullable String workspace)
         implements CheckedRecord {
 
-    // No JSON: nothing reads it as a job by mistake.
-    /** What lies in the place of a job's record once the job is over; that the key is there still says "accepted". */
+    // It is not JSON, so it cannot be read as a job by mistake.
+    /** Replaces the record of a finished job. The key remains to show that the job was accepted. */
     public static final String FINISHED_MARKER = "over";
 
     /** Creates a job that belongs to no workspace. */
@@ -70,7 +70,7 @@
         return policy.isValid() ? Optional.empty() : Optional.of(Unreadable.Reason.OUT_OF_RANGE.in("policy"));
     }
 
-    /** Returns whether this is the job whose record lies under the key of a service. */
+    /** Returns whether the service and key of this job match those of the store key that it was read from. */
     public boolean isStoredUnder(String keyService, JobKey keyJob) {
         return service.equals(keyService) && key.equals(keyJob);
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/JobState.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/JobState.java
@@ -15,13 +15,13 @@
  */
 package org.lupinpaddle.core.job;
 
-/** Where a job is in its life, as callers are told. */
+/** The lifecycle state of a job that is reported to callers. */
 public enum JobState {
-    /** Accepted; no task has begun. */
+    /** The job is accepted, and no task has started. */
     QUEUED(false),
-    /** At least one task has begun. */
+    /** At least one task has started. */
     RUNNING(false),
-    /** Every task has ended well. */
+    /** Every task has completed. */
     COMPLETED(true),
     /** A task, or a gang, has used up its attempts. */
     FAILED(true),
@@ -34,7 +34,7 @@
         this.ended = ended;
     }
 
-    /** Returns whether no task of the job will be started any more. */
+    /** Returns whether no more tasks of the job will be started. */
     public boolean ended() {
         return ended;
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/LenientCountDeserializer.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/LenientCountDeserializer.java
@@ -21,10 +21,13 @@
 import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
 import java.io.IOException;
 
-/** Reads a count without which the rest of its record is worth keeping: anything but a count is told as such. */
+/**
+ * Reads a count. An invalid value does not make the rest of the record unreadable; it is replaced by
+ * {@link #UNREADABLE}.
+ */
 final class LenientCountDeserializer extends StdDeserializer<Integer> {
 
-    /** Stands for a value that is no count. */
+    /** Replaces a value that is not a valid count. */
     static final int UNREADABLE = -1;
 
     private static final long serialVersionUID = 1;
--- a/core/src/main/java/org/lupinpaddle/core/job/LenientStartTimeDeserializer.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/LenientStartTimeDeserializer.java
@@ -21,10 +21,10 @@
 import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
 import java.io.IOException;
 
-/** Reads the birth of a worker, without which the rest of its record is worth keeping. */
+/** Reads the start time of a worker. An invalid value does not make the rest of the record unreadable. */
 final class LenientStartTimeDeserializer extends StdDeserializer<Long> {
 
-    /** Stands for a value that is no birth. */
+    /** Replaces a value that is not a valid start time. */
     static final long UNREADABLE = -1;
 
     private static final long serialVersionUID = 1;
--- a/core/src/main/java/org/lupinpaddle/core/job/Policy.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/Policy.java
@@ -16,20 +16,22 @@
 package org.lupinpaddle.core.job;
 
 /**
- * What the configuration said of a queue when it accepted a job; it stays with the job.
+ * The scheduling policy of a job. It is copied from the configuration of the queue when the job is
+ * accepted, and does not change.
  *
- * @param priority 0 comes first
- * @param maxAttempts how many runs of one task may end as failed
- * @param extension the latency objective is this many times the longest chain of work, plus {@code sloMillis}
+ * @param priority the priority; 0 is the highest
+ * @param maxAttempts the maximum number of failed runs of a task
+ * @param extension the factor of the latency objective, which is the duration of the critical path times this factor,
+ *     plus {@code sloMillis}
  * @param sloMillis the fixed part of the latency objective
- * @param advised whether only workers that the advice service names may run a step
+ * @param advised whether a step may run only on workers that the advice service recommends
  */
 public record Policy(int priority, int maxAttempts, double extension, long sloMillis, boolean advised) {
 
-    /** A job that ends within this many times its objective is late; beyond that its end does not count. */
+    /** A job that exceeds its objective is late up to this multiple of it; a later completion does not count. */
     public static final int LATE_FACTOR = 3;
 
-    /** Returns whether all values have a meaning. */
+    /** Returns whether all values are within their valid ranges. */
     boolean isValid() {
         return priority >= 0 && maxAttempts >= 0 && sloMillis >= 0 && Double.isFinite(extension) && extension >= 0;
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/Repeat.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/Repeat.java
@@ -16,23 +16,23 @@
 package org.lupinpaddle.core.job;
 
 /**
- * When the steps of a job are run.
+ * The schedule of a job's repetitions.
  *
- * @param count how often; a job without times runs once, with a count of 0
- * @param firstMillis when the first time falls due, in milliseconds since 1970
- * @param intervalMillis from one time to the next
+ * @param count the number of repetitions; 0 for a job without a schedule, which runs once
+ * @param firstMillis the due time of the first repetition, in milliseconds since 1970
+ * @param intervalMillis the interval between the due times of repetitions
  */
 public record Repeat(int count, long firstMillis, long intervalMillis) {
 
-    /** The steps run once, at once. */
+    /** Runs the steps once, immediately. */
     public static final Repeat ONCE = new Repeat(0, 0, 0);
 
-    /** Returns how many times the steps are run. */
+    /** Returns how many times the steps are run, at least 1. */
     public int repetitions() {
         return Math.max(1, count);
     }
 
-    /** Returns when a time falls due, in milliseconds since 1970; 0 for a job that runs at once. */
+    /** Returns the due time of a repetition, in milliseconds since 1970; 0 for a job that runs immediately. */
     public long dueMillis(int time) {
         return count == 0 ? 0 : firstMillis + time * intervalMillis;
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/SchedulerKeys.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/SchedulerKeys.java
@@ -21,12 +21,12 @@
 import org.lupinpaddle.core.workspace.KeyDigest;
 
 /**
- * Where the job scheduler's records lie in the store. What the owner of a service must notice lies under one
- * prefix, so that one watch shows all of it; what it writes itself lies elsewhere.
+ * The store keys of the job scheduler's records. All inputs of a service's owner have one prefix, so that a single
+ * watch covers them; the records that the owner itself writes are stored under other prefixes.
  */
 public final class SchedulerKeys {
 
-    /** Prefix of the entries and of the owners, each under the lease of an entry. */
+    /** The prefix of the registrations of entries and owners, each bound to the lease of an entry. */
     public static final String MEMBERS = "lupinpaddle/member/";
 
     private static final String FLEET = "lupinpaddle/fleet/";
@@ -45,7 +45,7 @@
     private static final String UPKEEP = FLEET + "upkeep/";
     private static final String RECENT_ORDERS = FLEET + "recent-orders";
 
-    // Any writer of the store can make up a key: what is no such name is passed over.
+    // Other writers of the store may create arbitrary keys, so keys that do not match are ignored.
     private static final Pattern WAVE_NUMBER = Pattern.compile("[0-9]{1,18}");
     private static final Pattern SERVICE_AND_WORKER = Pattern.compile("(?s).+/[^/]+");
 
@@ -56,37 +56,37 @@
         return ENTRIES + name;
     }
 
-    /** Returns the name of the entry whose registration this is, or nothing. */
+    /** Returns the name of the entry that is registered under the key; empty for other keys. */
     public static Optional<String> entryOf(String key) {
         return withoutPrefix(ENTRIES, key);
     }
 
-    /** Returns the key under which an entry tells how much it can do. */
+    /** Returns the key under which an entry reports its capacity. */
     public static String capacity(String name) {
         return CAPACITIES + name;
     }
 
-    /** Returns the name of the entry whose capacity this is, or nothing. */
+    /** Returns the name of the entry whose capacity is stored under the key; empty for other keys. */
     public static Optional<String> capacityOf(String key) {
         return withoutPrefix(CAPACITIES, key);
     }
 
-    /** Returns the key that the owner of a duty holds under its lease. */
+    /** Returns the key that the owner of a duty holds, bound to its lease. */
     public static String owner(String duty) {
         return OWNERS + duty;
     }
 
-    /** Returns the duty whose owner's key this is, or nothing. */
+    /** Returns the duty whose owner holds the key; empty for other keys. */
     public static Optional<String> dutyOf(String key) {
         return withoutPrefix(OWNERS, key);
     }
 
-    /** Returns the prefix of all that the owner of a service must notice. */
+    /** Returns the prefix of all inputs of a service's owner. */
     public static String inputs(String service) {
         return INPUTS + service + "/";
     }
 
-    /** Returns the prefix of what callers have handed in, of all services. */
+    /** Returns the prefix of the inputs of all services. */
     public static String allInputs() {
         return INPUTS;
     }
@@ -96,61 +96,61 @@
         return PROGRESS;
     }
 
-    /** Returns the service under whose inputs a key lies; empty when it lies under none's. */
+    /** Returns the service whose inputs contain the key; an empty string for other keys. */
     public static String serviceOfInput(String key) {
         return withoutPrefix(INPUTS, key)
                 .map(k -> k.substring(0, Math.max(0, k.indexOf('/'))))
                 .orElse("");
     }
 
-    /** Returns the key of a job's record, which changes once: to {@link JobSpec#FINISHED_MARKER}. */
+    /** Returns the key of a job's record, which changes only once: to {@link JobSpec#FINISHED_MARKER}. */
     public static String job(String service, JobKey job) {
         return inputs(service) + JOB + job;
     }
 
-    /** Returns the job whose record lies under the key, or nothing. */
+    /** Returns the job whose record is stored under the key; empty for other keys. */
     public static Optional<JobKey> jobOf(String service, String key) {
         return withoutPrefix(inputs(service) + JOB, key).map(SchedulerKeys::jobKey);
     }
 
-    /** Returns the key that says that a caller has cancelled a job. */
+    /** Returns the key that marks a job as cancelled by its caller. */
     public static String cancel(String service, JobKey job) {
         return inputs(service) + CANCEL + job;
     }
 
-    /** Returns the job that the key says is cancelled, or nothing. */
+    /** Returns the job that the key marks as cancelled; empty for other keys. */
     public static Optional<JobKey> cancelledJobOf(String service, String key) {
         return withoutPrefix(inputs(service) + CANCEL, key).map(SchedulerKeys::jobKey);
     }
 
-    /** Returns the prefix of all that the owner of the fleet must notice. */
+    /** Returns the prefix of all inputs of the fleet's owner. */
     public static String fleet() {
         return FLEET;
     }
 
-    /** Returns whether the key asks for a worker to be emptied. */
+    /** Returns whether the key requests the evacuation of a worker. */
     public static boolean isEvacuation(String key) {
         return withoutPrefix(EVACUATIONS, key)
                 .filter(k -> SERVICE_AND_WORKER.matcher(k).matches())
                 .isPresent();
     }
 
-    /** Returns the service of whose worker the key asks that it be emptied. */
+    /** Returns the service of the worker whose evacuation the key requests. */
     public static String evacuatedService(String key) {
         return key.substring(EVACUATIONS.length(), key.lastIndexOf('/'));
     }
 
-    /** Returns the worker that the key asks to be emptied. */
+    /** Returns the worker whose evacuation the key requests. */
     public static String evacuatedWorker(String key) {
         return key.substring(key.lastIndexOf('/') + 1);
     }
 
-    /** Returns the prefix of what asks for workers of a service to be emptied. */
+    /** Returns the prefix of the evacuation requests for workers of a service. */
     public static String evacuations(String service) {
         return EVACUATIONS + service + "/";
     }
 
-    /** Returns the key that asks for a worker to be emptied. */
+    /** Returns the key of the evacuation request for a worker. */
     public static String evacuation(String service, String worker) {
         return evacuations(service) + worker;
     }
@@ -170,19 +170,21 @@
         return REPORTS + service;
     }
 
-    /** Returns the service whose report lies under the key, or nothing. */
+    /** Returns the service whose report is stored under the key; empty for other keys. */
     public static Optional<String> reportOf(String key) {
         return withoutPrefix(REPORTS, key);
     }
 
-    /** Returns the key of how far a wave of upkeep is. */
+    /** Returns the key of the progress of a maintenance wave. */
     public static String upkeep(long wave) {
         return UPKEEP + wave;
     }
 
-    /** Returns the wave whose record lies under the key, or nothing. */
+    /** Returns the maintenance wave whose progress is stored under the key; empty for other keys. */
     public static Optional<Long> upkeepOf(String key) {
-        return withoutPrefix(UPKEEP, key).filter(k -> WAVE_NUMBER.matcher(k).matches()).map(Long::valueOf);
+        return withoutPrefix(UPKEEP, key)
+                .filter(k -> WAVE_NUMBER.matcher(k).matches())
+                .map(Long::valueOf);
     }
 
     /** Returns the prefix of all quota allocations. */
@@ -196,12 +198,12 @@
         return QUOTAS + (isLong ? KeyDigest.of(workspace).toHex() : workspace);
     }
 
-    /** Returns the key of which instances were ordered lately. */
+    /** Returns the key of the recent operations on instances. */
     public static String recentOrders() {
         return RECENT_ORDERS;
     }
 
-    /** Returns the job whose progress lies under the key. */
+    /** Returns the job whose progress is stored under the key; empty for other keys. */
     public static Optional<JobKey> progressOf(String service, String key) {
         return withoutPrefix(progress(service), key).map(SchedulerKeys::jobKey);
     }
--- a/core/src/main/java/org/lupinpaddle/core/job/StepSpec.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/StepSpec.java
@@ -18,24 +18,24 @@
 import java.util.List;
 
 /**
- * One step of a job, as its caller described it.
+ * One step of a job, as specified by its caller.
  *
- * @param count how many tasks it has
- * @param need what each task asks of a worker
- * @param estimateMillis the caller's rough guess of one task's time; 0 where none was given
- * @param after the steps, from 0, all of whose tasks must be done first
- * @param checkpointing whether tasks save what they have done and can go on from there
- * @param gang whether the tasks work only together
- * @param rackLocal whether tasks on more than one rack take longer
- * @param label what a worker must have; empty for no wish
- * @param affinityRack the rack on which the data lies; empty for none
- * @param perWorkerMost how many tasks of one time one worker shall carry; 0 for any number
- * @param speculative whether copies of a task may run side by side
+ * @param count the number of tasks
+ * @param need the resources that each task requires
+ * @param estimateMillis the caller's estimate of a task's duration; 0 if none was given
+ * @param after the indexes, from 0, of the steps whose tasks must all be done first
+ * @param checkpointing whether tasks save checkpoints and can resume from them
+ * @param gang whether the tasks must run at the same time
+ * @param rackLocal whether tasks run faster if all are on one rack
+ * @param label the label that a worker must have; empty if none is required
+ * @param affinityRack the rack that holds the data; empty for none
+ * @param perWorkerMost the maximum number of tasks of one repetition on one worker; 0 for no limit
+ * @param speculative whether copies of a task may run concurrently
  * @param longRunning whether tasks run until the job is cancelled
- * @param image what the tasks run; tasks of one image behave alike
- * @param targetMillis the tail of answer times below which a serving task is to stay; 0 for none
- * @param fills whether tasks get only the processor time that others leave
- * @param mayMiss how many tasks may be away at one time through the system's doing; 0 where nothing was said
+ * @param image the image that the tasks run; tasks of the same image behave alike
+ * @param targetMillis the objective for the tail latency of a serving task; 0 for none
+ * @param fills whether tasks use only CPU time that other tasks leave idle
+ * @param mayMiss the maximum number of tasks that the system may make unavailable at the same time; 0 if not specified
  */
 public record StepSpec(
         int count,
@@ -56,7 +56,7 @@
         int mayMiss) {
 
     /**
-     * What one task asks of a worker.
+     * The resources that one task requires.
      *
      * @param cpuMillis thousandths of a core
      * @param memoryMb megabytes
@@ -65,7 +65,7 @@
     public record Need(long cpuMillis, long memoryMb, long accelerators) {}
 
     /**
-     * Returns what a step asks for in one word, as {@code COUNTxMILLICORES}, followed by {@code >STEP} for each step
+     * Returns a short summary of the step, as {@code COUNTxMILLICORES}, followed by {@code >STEP} for each step
      * that must be done first.
      */
     public String shape() {
@@ -79,7 +79,7 @@
         return new Builder(count, need);
     }
 
-    /** Builds a {@link StepSpec}; what is not set is absent. */
+    /** Builds a {@link StepSpec}; properties that are not set are absent. */
     public static final class Builder {
         private final int count;
         private final Need need;
@@ -103,7 +103,7 @@
             this.need = need;
         }
 
-        /** Sets the guess of one task's time. */
+        /** Sets the estimate of a task's duration. */
         public Builder estimateMillis(long millis) {
             this.estimateMillis = millis;
             return this;
@@ -115,46 +115,46 @@
             return this;
         }
 
-        /** Sets whether tasks save what they have done. */
+        /** Sets whether tasks save checkpoints. */
         public Builder checkpointing(boolean enabled) {
             this.checkpointing = enabled;
             return this;
         }
 
-        /** Sets whether the tasks work only together, and whether they had better share a rack. */
+        /** Sets whether the tasks must run at the same time, and whether they run faster on one rack. */
         public Builder gang(boolean enabled, boolean sameRack) {
             this.gang = enabled;
             this.rackLocal = sameRack;
             return this;
         }
 
-        /** Sets the label that a worker must have and the rack on which the data lies. */
+        /** Sets the label that a worker must have and the rack that holds the data. */
         public Builder place(String neededLabel, String dataRack) {
             this.label = neededLabel;
             this.affinityRack = dataRack;
             return this;
         }
 
-        /** Sets how many tasks one worker shall carry. */
+        /** Sets the maximum number of tasks on one worker. */
         public Builder perWorkerMost(int maxTasks) {
             this.perWorkerMost = maxTasks;
             return this;
         }
 
-        /** Sets whether copies may run side by side. */
+        /** Sets whether copies of a task may run concurrently. */
         public Builder speculative(boolean enabled) {
             this.speculative = enabled;
             return this;
         }
 
-        /** Sets that the tasks run until the job is cancelled, and how many may be away at one time. */
+        /** Sets whether the tasks run until the job is cancelled, and how many may be unavailable at the same time. */
         public Builder longRunning(boolean enabled, int maxUnavailable) {
             this.longRunning = enabled;
             this.mayMiss = maxUnavailable;
             return this;
         }
 
-        /** Sets what the tasks run, the tail of answer times they are to keep, and whether they only fill. */
+        /** Sets the image, the tail latency objective, and whether the tasks use only idle CPU time. */
         public Builder image(String name, long tailMillis, boolean filling) {
             this.image = name;
             this.targetMillis = tailMillis;
--- a/core/src/main/java/org/lupinpaddle/core/job/Submission.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/Submission.java
@@ -18,10 +18,10 @@
 import java.util.List;
 
 /**
- * What a caller hands in.
+ * A job as submitted by a caller.
  *
- * @param text what each task is to be told
+ * @param text the text for each task
  * @param steps the steps
- * @param repeat when they are run
+ * @param repeat the schedule of the repetitions
  */
 public record Submission(String text, List<StepSpec> steps, Repeat repeat) {}
--- a/core/src/main/java/org/lupinpaddle/core/job/SubmissionValidator.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/SubmissionValidator.java
@@ -22,31 +22,32 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Says what is wrong with what a caller hands in, naming the field, so that nothing odd reaches the store. */
+/** Validates submissions, so that no invalid job reaches the store. Errors name the invalid field. */
 public final class SubmissionValidator {
 
-    // From the platform's protocol: an id is 16 hex digits, a text has at most 4,000 bytes.
+    // The platform's protocol defines an id as 16 hexadecimal digits and limits a text to 4,000 bytes.
     private static final Pattern ID = Pattern.compile("[0-9a-fA-F]{16}");
     private static final int MAX_TEXT_BYTES = 4_000;
-    // Ours: a job's records must fit into one value of the store, with room to spare.
+    // These limits are not part of the protocol. They keep each record of a job well below the size limit of a store
+    // value.
     private static final int MAX_STEPS = 100;
     private static final int MAX_TASKS = 5_000;
     private static final int MAX_REPETITIONS = 1_000;
 
     private SubmissionValidator() {}
 
-    /** Returns whether a text is a job's id. */
+    /** Returns whether the string is a valid job id. */
     public static boolean isId(String id) {
         return ID.matcher(id).matches();
     }
 
-    /** Returns what is wrong, or nothing. */
+    /** Returns a message for the first error of the submission; empty if it is valid. */
     public static Optional<String> findError(Submission s) {
         if (s.text().getBytes(StandardCharsets.UTF_8).length > MAX_TEXT_BYTES) {
             return Optional.of("the text has more than " + MAX_TEXT_BYTES + " bytes");
         }
         if (s.steps().isEmpty() || s.steps().size() > MAX_STEPS) {
-            return Optional.of("steps: there must be 1 to " + MAX_STEPS);
+            return Optional.of("steps: the number of steps must be 1 to " + MAX_STEPS);
         }
         Optional<String> repeat = findRepeatError(s.repeat());
         if (repeat.isPresent()) {
@@ -61,18 +62,18 @@
         long tasks =
                 s.steps().stream().mapToLong(StepSpec::count).sum() * s.repeat().repetitions();
         if (tasks > MAX_TASKS) {
-            return Optional.of("the job has " + tasks + " tasks; at most " + MAX_TASKS + " are taken");
+            return Optional.of("the job has " + tasks + " tasks, but the limit is " + MAX_TASKS);
         }
         return hasCycle(s.steps())
-                ? Optional.of("after: the steps wait for one another in a circle")
+                ? Optional.of("after: the dependencies of the steps form a cycle")
                 : Optional.empty();
     }
 
     private static Optional<String> findRepeatError(Repeat r) {
         if (r.count() < 0 || r.count() > MAX_REPETITIONS) {
-            return Optional.of("the number of times must be 0 to " + MAX_REPETITIONS);
+            return Optional.of("the number of repetitions must be 0 to " + MAX_REPETITIONS);
         }
-        return r.intervalMillis() < 0 ? Optional.of("the interval must not be negative") : Optional.empty();
+        return r.intervalMillis() < 0 ? Optional.of("the repetition interval must not be negative") : Optional.empty();
     }
 
     private static Optional<String> findStepError(int i, List<StepSpec> steps) {
@@ -83,14 +84,14 @@
             return Optional.of(field + "count must be 1 to " + MAX_TASKS);
         }
         if (n.cpuMillis() < 0 || n.memoryMb() < 0 || n.accelerators() < 0) {
-            return Optional.of(field + "what a task asks for must not be negative");
+            return Optional.of(field + "resource needs must not be negative");
         }
         if (s.estimateMillis() < 0 || s.perWorkerMost() < 0 || s.mayMiss() < 0 || s.targetMillis() < 0) {
-            return Optional.of(field + "counts and times must not be negative");
+            return Optional.of(field + "counts and durations must not be negative");
         }
         for (int dependency : s.after()) {
             if (dependency < 0 || dependency >= steps.size() || dependency == i) {
-                return Optional.of(field + "after: there is no other step " + dependency);
+                return Optional.of(field + "after: " + dependency + " is not the index of another step");
             }
         }
         return Optional.empty();
--- a/core/src/main/java/org/lupinpaddle/core/job/TaskId.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/TaskId.java
@@ -16,15 +16,15 @@
 package org.lupinpaddle.core.job;
 
 /**
- * Names one task within its job.
+ * Identifies a task within its job.
  *
- * @param time which repetition of the job, from 0
- * @param step which step, from 0
- * @param index which task of the step, from 0
+ * @param time the index of the repetition, from 0
+ * @param step the index of the step, from 0
+ * @param index the index of the task within the step, from 0
  */
 public record TaskId(int time, int step, int index) {
 
-    /** Returns the three numbers, with dots between them. */
+    /** Returns the three indexes, separated by dots. */
     @Override
     public String toString() {
         return time + "." + step + "." + index;
--- a/core/src/main/java/org/lupinpaddle/core/job/TaskRecord.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/TaskRecord.java
@@ -22,21 +22,23 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What the store keeps of one task that has been placed at least once. It is written as an array: a job
- * has dozens of them and is written often.
+ * The stored state of a task that has been placed at least once. It is serialized as an array to save space, because a
+ * job has dozens of these records and is written often.
  *
- * @param time which repetition of the job
- * @param step which step
- * @param index which task of the step
- * @param run the number of its newest run
- * @param failures how many runs ended as failed
- * @param done whether it needs no further run
- * @param worker the id of the worker that may hold its newest run; empty when none does
- * @param checkpoint what the newest run had saved; empty for nothing, and once done outside a gang
- * @param crashes how many workers have crashed while they ran it; null from a version that does not count them
- * @param doubtfulCrashes how many more have crashed that may not have begun it; null as above
- * @param workerBornMillis which life of the worker was given the newest run, by the time of its start in milliseconds since
- *     1970; null where that is not known, or no worker holds it
+ * @param time the index of the repetition
+ * @param step the index of the step
+ * @param index the index of the task within the step
+ * @param run the number of the latest run
+ * @param failures the number of failed runs
+ * @param done whether the task needs no further run
+ * @param worker the id of the worker that may hold the latest run; empty if none does
+ * @param checkpoint the checkpoint that the latest run saved; empty if there is none, or if the task is done
+ *     and not part of a gang
+ * @param crashes the number of workers that crashed while they ran the task; null if written by a version that does
+ *     not count them
+ * @param doubtfulCrashes the number of further crashed workers that may not have started the task; null as above
+ * @param workerBornMillis the start time of the worker process that the latest run was assigned to, in milliseconds
+ *     since 1970; null if it is unknown or no worker holds the run
  */
 @JsonFormat(shape = JsonFormat.Shape.ARRAY)
 @JsonPropertyOrder({
@@ -71,18 +73,18 @@
         @JsonDeserialize(using = LenientStartTimeDeserializer.class) @Nullable
         Long workerBornMillis) {
 
-    /** Makes the record of a task under which no worker has crashed. */
+    /** Creates the record of a task that has not crashed any worker. */
     public TaskRecord(
             int time, int step, int index, int run, int failures, boolean done, String worker, String checkpoint) {
         this(time, step, index, run, failures, done, worker, checkpoint, 0, 0, null);
     }
 
-    /** Returns when the life of the worker began that was given the newest run; 0 where nobody can tell. */
+    /** Returns the start time of the worker process that the latest run was assigned to; 0 if it is unknown. */
     public long knownWorkerStartMillis() {
         return workerBornMillis == null ? 0 : Math.max(0, workerBornMillis);
     }
 
-    /** Makes the record of a task that may have crashed workers, and whose worker's life is not known. */
+    /** Creates the record of a task that may have crashed workers; the start time of its worker is unknown. */
     public TaskRecord(
             int time,
             int step,
@@ -97,12 +99,12 @@
         this(time, step, index, run, failures, done, worker, checkpoint, crashes, doubtfulCrashes, null);
     }
 
-    /** Returns how many workers are known to have crashed while they ran it; none where nobody can tell. */
+    /** Returns the number of workers that crashed while they ran the task; 0 if it is unknown. */
     public int knownCrashes() {
         return known(crashes);
     }
 
-    /** Returns how many more are known to have crashed that may not have begun it; none where nobody can tell. */
+    /** Returns the number of further crashed workers that may not have started the task; 0 if it is unknown. */
     public int knownDoubtfulCrashes() {
         return known(doubtfulCrashes);
     }
@@ -111,19 +113,19 @@
         return count == null ? 0 : Math.max(0, count);
     }
 
-    /** Returns whether something else stands where a count of crashes is to stand. */
+    /** Returns whether a crash count was unreadable. */
     @JsonIgnore
     public boolean hasUnreadableCrashes() {
         return (crashes != null && crashes < 0) || (doubtfulCrashes != null && doubtfulCrashes < 0);
     }
 
-    /** Returns whether something else stands where the birth of a worker is to stand. */
+    /** Returns whether the start time of the worker was unreadable. */
     @JsonIgnore
     public boolean hasUnreadableWorkerStart() {
         return workerBornMillis != null && workerBornMillis < 0;
     }
 
-    /** Returns whether all numbers have a meaning. */
+    /** Returns whether all numbers are within their valid ranges. */
     boolean isValid() {
         return time >= 0 && step >= 0 && index >= 0 && run >= 0 && failures >= 0;
     }
--- a/core/src/test/java/org/lupinpaddle/core/job/SchedulerKeysProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/job/SchedulerKeysProperties.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.Provide;
 import org.lupinpaddle.core.fleet.InstanceOperation;
 
-/** Keys that another writer has made up are taken for nothing, and stop nobody. */
+/** Verifies that arbitrary keys of other writers are parsed without an exception. */
 class SchedulerKeysProperties {
 
     @Provide
@@ -39,7 +39,7 @@
     }
 
     @Property(tries = 500)
-    void ofAnyNameAreTakenApart(@ForAll("names") String name, @ForAll("prefixes") String prefix) {
+    void arbitraryKeysAreParsedWithoutException(@ForAll("names") String name, @ForAll("prefixes") String prefix) {
         String key = prefix + name;
         assertDoesNotThrow(() -> {
             SchedulerKeys.jobOf("clips", key);
@@ -75,14 +75,14 @@
     }
 
     @Property(tries = 300)
-    void errandsOfAnyTextAreNoneOrSound(@ForAll("names") String target) {
+    void arbitraryOperationsAreRejectedOrValid(@ForAll("names") String target) {
         Optional<InstanceOperation> upkeep = InstanceOperation.parse("UPKEEP:" + target);
         assertDoesNotThrow(() -> upkeep.ifPresent(e -> Long.parseLong(e.target())));
         assertDoesNotThrow(() -> InstanceOperation.parse(target));
     }
 
     @Example
-    void ofOursAreWhatTheyWere() {
+    void generatedKeysAndOperationsAreParsed() {
         assertEquals(Optional.of(7L), SchedulerKeys.upkeepOf(SchedulerKeys.upkeep(7)));
         String key = SchedulerKeys.evacuation("clips", "w1");
         assertTrue(SchedulerKeys.isEvacuation(key));
--- a/core/src/test/java/org/lupinpaddle/core/job/StepSpecTest.java
+++ b/core/src/test/java/org/lupinpaddle/core/job/StepSpecTest.java
@@ -24,7 +24,7 @@
 class StepSpecTest {
 
     @Nested
-    class TheShape {
+    class Shape {
 
         private static StepSpec step(int count, long cpuMillis, Integer... after) {
             return StepSpec.builder(count, new StepSpec.Need(cpuMillis, 100, 0))
@@ -33,12 +33,12 @@
         }
 
         @Test
-        void tellsTasksAndCores() {
+        void containsTaskCountAndCores() {
             assertEquals("6x880", step(6, 880).shape());
         }
 
         @Test
-        void tellsEachStepThatGoesBefore() {
+        void containsEachDependency() {
             assertEquals("11x2350>0>1", step(11, 2_350, 0, 1).shape());
         }
     }
