--- a/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
+++ b/model/src/main/java/org/lupinpaddle/model/PowerLossRecovery.java
@@ -75,10 +75,14 @@
     Set<String> unscheduledServices() {
         Set<String> all = new TreeSet<>();
         for (String s : world.site.services()) {
-            long ownerRevision =
-                    world.store.read(SchedulerKeys.owner(s)).map(StoreItem::revision).orElse(World.NEVER);
-            long reportRevision =
-                    world.store.read(SchedulerKeys.report(s)).map(StoreItem::revision).orElse(0L);
+            long ownerRevision = world.store
+                    .read(SchedulerKeys.owner(s))
+                    .map(StoreItem::revision)
+                    .orElse(World.NEVER);
+            long reportRevision = world.store
+                    .read(SchedulerKeys.report(s))
+                    .map(StoreItem::revision)
+                    .orElse(0L);
             if (reportRevision < ownerRevision) {
                 all.add(s);
             }
