--- a/core/src/test/java/org/lupinpaddle/core/job/JobKeysProperties.java
+++ b/core/src/test/java/org/lupinpaddle/core/job/SchedulerKeysProperties.java
@@ -29,8 +29,8 @@
 import net.jqwik.api.Provide;
 import org.lupinpaddle.core.fleet.InstanceOperation;
 
-/** Keys that another writer has made up are taken for nothing, and stop nobody. */
-class JobKeysProperties {
+/** Verifies that arbitrary keys of other writers are parsed without an exception. */
+class SchedulerKeysProperties {
 
     @Provide
     Arbitrary<String> names() {
@@ -39,55 +39,55 @@
     }
 
     @Property(tries = 500)
-    void ofAnyNameAreTakenApart(@ForAll("names") String name, @ForAll("prefixes") String prefix) {
+    void arbitraryKeysAreParsedWithoutException(@ForAll("names") String name, @ForAll("prefixes") String prefix) {
         String key = prefix + name;
         assertDoesNotThrow(() -> {
-            JobKeys.jobOf("clips", key);
-            JobKeys.cancelled("clips", key);
-            JobKeys.progressOf("clips", key);
-            JobKeys.upkeepOf(key);
-            JobKeys.reportOf(key);
-            JobKeys.entryOf(key);
-            JobKeys.capacityOf(key);
-            JobKeys.ownedBy(key);
-            JobKeys.serviceOfInput(key);
-            if (JobKeys.isEvacuation(key)) {
-                assertFalse(JobKeys.evacuatedService(key).isEmpty());
-                assertFalse(JobKeys.evacuatedWorker(key).isEmpty());
+            SchedulerKeys.jobOf("clips", key);
+            SchedulerKeys.cancelledJobOf("clips", key);
+            SchedulerKeys.progressOf("clips", key);
+            SchedulerKeys.upkeepOf(key);
+            SchedulerKeys.reportOf(key);
+            SchedulerKeys.entryOf(key);
+            SchedulerKeys.capacityOf(key);
+            SchedulerKeys.dutyOf(key);
+            SchedulerKeys.serviceOfInput(key);
+            if (SchedulerKeys.isEvacuation(key)) {
+                assertFalse(SchedulerKeys.evacuatedService(key).isEmpty());
+                assertFalse(SchedulerKeys.evacuatedWorker(key).isEmpty());
             }
         });
     }
 
     @Provide
     Arbitrary<String> prefixes() {
-        String evacuations = JobKeys.evacuations("");
+        String evacuations = SchedulerKeys.evacuations("");
         return Arbitraries.of(
-                JobKeys.fleet(),
+                SchedulerKeys.fleet(),
                 evacuations.substring(0, evacuations.length() - 1),
-                JobKeys.upkeep(1).replace("1", ""),
-                JobKeys.report(""),
-                JobKeys.inputs("clips"),
-                JobKeys.allInputs(),
-                JobKeys.allProgress(),
-                JobKeys.MEMBERS,
-                JobKeys.entry(""),
-                JobKeys.capacity(""));
+                SchedulerKeys.upkeep(1).replace("1", ""),
+                SchedulerKeys.report(""),
+                SchedulerKeys.inputs("clips"),
+                SchedulerKeys.allInputs(),
+                SchedulerKeys.allProgress(),
+                SchedulerKeys.MEMBERS,
+                SchedulerKeys.entry(""),
+                SchedulerKeys.capacity(""));
     }
 
     @Property(tries = 300)
-    void errandsOfAnyTextAreNoneOrSound(@ForAll("names") String target) {
+    void arbitraryOperationsAreRejectedOrValid(@ForAll("names") String target) {
         Optional<InstanceOperation> upkeep = InstanceOperation.parse("UPKEEP:" + target);
         assertDoesNotThrow(() -> upkeep.ifPresent(e -> Long.parseLong(e.target())));
         assertDoesNotThrow(() -> InstanceOperation.parse(target));
     }
 
     @Example
-    void ofOursAreWhatTheyWere() {
-        assertEquals(Optional.of(7L), JobKeys.upkeepOf(JobKeys.upkeep(7)));
-        String key = JobKeys.evacuation("clips", "w1");
-        assertTrue(JobKeys.isEvacuation(key));
-        assertEquals("clips", JobKeys.evacuatedService(key));
-        assertEquals("w1", JobKeys.evacuatedWorker(key));
+    void generatedKeysAndOperationsAreParsed() {
+        assertEquals(Optional.of(7L), SchedulerKeys.upkeepOf(SchedulerKeys.upkeep(7)));
+        String key = SchedulerKeys.evacuation("clips", "w1");
+        assertTrue(SchedulerKeys.isEvacuation(key));
+        assertEquals("clips", SchedulerKeys.evacuatedService(key));
+        assertEquals("w1", SchedulerKeys.evacuatedWorker(key));
         assertEquals(Optional.of(InstanceOperation.upkeep(7)), InstanceOperation.parse("UPKEEP:7"));
         assertEquals(Optional.of(InstanceOperation.move("clips")), InstanceOperation.parse("MOVE:clips"));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/CallerHandler.java
@@ -169,9 +169,9 @@
 
     private void giveUp(CallerReply reply, GiveUpReason reason) {
         HttpFields.Mutable headers = notRunHeaders(reason.wireName());
-        if (reason.comeBackMillis() > 0) {
-            headers.put("Retry-After", Long.toString((reason.comeBackMillis() + 999) / 1_000));
-            headers.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(reason.comeBackMillis()));
+        if (reason.retryAfterMillis() > 0) {
+            headers.put("Retry-After", Long.toString((reason.retryAfterMillis() + 999) / 1_000));
+            headers.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(reason.retryAfterMillis()));
         }
         services.metrics().counter("requests." + reason.wireName()).inc();
         reply.answer(reason.status(), headers, new byte[0]);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestExecution.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/caller/RequestExecution.java
@@ -105,7 +105,7 @@
     }
 
     void cancel() {
-        handle(new RequestEvent.CallerGone());
+        handle(new RequestEvent.CallerDisconnected());
     }
 
     // An action can raise the next event synchronously: events are queued and handled in order, not nested.
@@ -117,32 +117,33 @@
         running = true;
         try {
             for (RequestEvent e = events.poll(); e != null; e = events.poll()) {
-                for (RequestAction a : machine.on(e, services.loop().clock().millis())) {
+                for (RequestAction a :
+                        machine.onEvent(e, services.loop().clock().millis())) {
                     perform(a);
                 }
             }
         } finally {
             running = false;
         }
-        if (machine.isOver()) {
+        if (machine.isFinished()) {
             onFinished.run();
         }
     }
 
     private void perform(RequestAction action) {
-        if (action instanceof RequestAction.TakeClaim) {
+        if (action instanceof RequestAction.AcquireClaim) {
             takeClaim();
-        } else if (action instanceof RequestAction.SettleClaim) {
+        } else if (action instanceof RequestAction.MarkClaimNotRun) {
             services.claims().release(request.service(), jobId(), claimId);
-        } else if (action instanceof RequestAction.AskSlot a) {
+        } else if (action instanceof RequestAction.RequestSlot a) {
             requestSlot(a);
-        } else if (action instanceof RequestAction.CancelAsk) {
+        } else if (action instanceof RequestAction.CancelSlotRequest) {
             services.slots().cancel(pendingSlotRequest);
         } else if (action instanceof RequestAction.Send a) {
             services.config().whenFresh(() -> sendAttempt(a));
         } else if (action instanceof RequestAction.ReleaseSlot a) {
             services.slots().release(request.service(), new Grant(a.grant(), a.worker()), a.outcome());
-        } else if (action instanceof RequestAction.PassAnswer) {
+        } else if (action instanceof RequestAction.ForwardResponse) {
             forwardAnswer();
         } else if (action instanceof RequestAction.GiveUp a) {
             giveUp(a);
@@ -158,11 +159,11 @@
         services.claims().acquire(request.service(), jobId(), claimId, result -> {
             hop.setAttribute("claim.result", result.name());
             hop.end();
-            handle(new RequestEvent.ClaimAnswered(result));
+            handle(new RequestEvent.ClaimCompleted(result));
         });
     }
 
-    private void requestSlot(RequestAction.AskSlot a) {
+    private void requestSlot(RequestAction.RequestSlot a) {
         Span hop = services.traces().hop(span, request.id(), "slot", SpanKind.INTERNAL);
         waitSpan = hop;
         SlotClient.SlotRequest need = new SlotClient.SlotRequest(
@@ -170,7 +171,7 @@
                 request.urgency(),
                 request.arrival(),
                 request.deadline(),
-                a.avoid(),
+                a.excludedWorkers(),
                 request.memoryMb());
         pendingSlotRequest = services.slots().ask(need, r -> {
             hop.end();
@@ -254,15 +255,15 @@
     }
 
     private void giveUp(RequestAction.GiveUp a) {
-        finish(a.verdict(), a.reason().wireName(), a.comeBackMillis());
+        finish(a.verdict(), a.reason().wireName(), a.retryAfterMillis());
         HttpFields.Mutable out = HttpFields.build();
         out.put(CallerHeaders.VERDICT, a.verdict().wireName());
         out.put(CallerHeaders.REASON, a.reason().wireName());
         out.put(CallerHeaders.REQUEST_ID, request.id());
-        if (a.comeBackMillis() > 0) {
-            long seconds = TimeUnit.MILLISECONDS.toSeconds(a.comeBackMillis() + 999);
+        if (a.retryAfterMillis() > 0) {
+            long seconds = TimeUnit.MILLISECONDS.toSeconds(a.retryAfterMillis() + 999);
             out.put(HttpHeader.RETRY_AFTER, Long.toString(seconds));
-            out.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(a.comeBackMillis()));
+            out.put(CallerHeaders.RETRY_AFTER_MILLIS, Long.toString(a.retryAfterMillis()));
         }
         reply.answer(a.reason().status(), out, new byte[0]);
         if (attempt != null) {
