--- a/core/src/main/java/org/lupinpaddle/core/job/SubmissionValidator.java
+++ b/core/src/main/java/org/lupinpaddle/core/job/SubmissionValidator.java
@@ -47,7 +47,7 @@
             return Optional.of("the text has more than " + MAX_TEXT_BYTES + " bytes");
         }
         if (s.steps().isEmpty() || s.steps().size() > MAX_STEPS) {
-            return Optional.of("steps: the number of steps must be 1 to " + MAX_STEPS);
+            return Optional.of("steps: there must be 1 to " + MAX_STEPS);
         }
         Optional<String> repeat = findRepeatError(s.repeat());
         if (repeat.isPresent()) {
@@ -62,18 +62,18 @@
         long tasks =
                 s.steps().stream().mapToLong(StepSpec::count).sum() * s.repeat().repetitions();
         if (tasks > MAX_TASKS) {
-            return Optional.of("the job has " + tasks + " tasks, but the limit is " + MAX_TASKS);
+            return Optional.of("the job has " + tasks + " tasks; at most " + MAX_TASKS + " are taken");
         }
         return hasCycle(s.steps())
-                ? Optional.of("after: the dependencies of the steps form a cycle")
+                ? Optional.of("after: the steps wait for one another in a circle")
                 : Optional.empty();
     }
 
     private static Optional<String> findRepeatError(Repeat r) {
         if (r.count() < 0 || r.count() > MAX_REPETITIONS) {
-            return Optional.of("the number of repetitions must be 0 to " + MAX_REPETITIONS);
+            return Optional.of("the number of times must be 0 to " + MAX_REPETITIONS);
         }
-        return r.intervalMillis() < 0 ? Optional.of("the repetition interval must not be negative") : Optional.empty();
+        return r.intervalMillis() < 0 ? Optional.of("the interval must not be negative") : Optional.empty();
     }
 
     private static Optional<String> findStepError(int i, List<StepSpec> steps) {
@@ -84,14 +84,14 @@
             return Optional.of(field + "count must be 1 to " + MAX_TASKS);
         }
         if (n.cpuMillis() < 0 || n.memoryMb() < 0 || n.accelerators() < 0) {
-            return Optional.of(field + "resource needs must not be negative");
+            return Optional.of(field + "what a task asks for must not be negative");
         }
         if (s.estimateMillis() < 0 || s.perWorkerMost() < 0 || s.mayMiss() < 0 || s.targetMillis() < 0) {
-            return Optional.of(field + "counts and durations must not be negative");
+            return Optional.of(field + "counts and times must not be negative");
         }
         for (int dependency : s.after()) {
             if (dependency < 0 || dependency >= steps.size() || dependency == i) {
-                return Optional.of(field + "after: " + dependency + " is not the index of another step");
+                return Optional.of(field + "after: there is no other step " + dependency);
             }
         }
         return Optional.empty();
--- a/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
+++ b/core/src/main/java/org/lupinpaddle/core/request/GiveUpReason.java
@@ -26,7 +26,7 @@
     /** The request is not expected to start before its deadline. */
     HOPELESS("hopeless", 503, 5_000),
     /** The entry can reach no worker of the service. */
-    CUT_OFF("cut-disabledRule", 503, 3_000),
+    CUT_OFF("cut-off", 503, 3_000),
     /** No worker is large enough for the declared memory need. */
     TOO_LARGE("too-large", 422, 0),
     /** The request failed on several workers that run other requests successfully. */
