--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
@@ -64,7 +64,7 @@
         }
         peers.replaceAll((id, peer) -> peer.withRegistered(registered.contains(id)));
         long now = clock.millis();
-        peers.values().removeIf(peer -> !peer.registered() && now - peer.lastSeen() > FORGET_AFTER_MILLIS);
+        peers.values().removeIf(peer -> !peer.registered() && now - peer.lastContact() > FORGET_AFTER_MILLIS);
     }
 
     /** Handles the hello message of an entry. */
@@ -111,7 +111,7 @@
 
     /** Returns whether the last heartbeat of an entry is recent. */
     public boolean isReachable(PeerState peer) {
-        return clock.millis() - peer.lastSeen() <= heartbeatMillis(peer) * MAX_MISSED_HEARTBEATS;
+        return clock.millis() - peer.lastContact() <= heartbeatMillis(peer) * MAX_MISSED_HEARTBEATS;
     }
 
     /** Returns the interval of the heartbeats to and from an entry, in milliseconds. */
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
@@ -25,7 +25,7 @@
  * @param region its region
  * @param address its peer address
  * @param registered whether the store contained its registration when last read
- * @param lastSeen the time of its last hello or heartbeat, in milliseconds of this entry's clock
+ * @param lastContact the time of its last hello or heartbeat, in milliseconds of this entry's clock
  * @param revision the revision of the newest configuration record in force on it
  * @param serving whether it serves callers
  * @param platformOk whether it can reach the platform
@@ -37,7 +37,7 @@
         String region,
         String address,
         boolean registered,
-        long lastSeen,
+        long lastContact,
         long revision,
         boolean serving,
         boolean platformOk,
@@ -53,7 +53,7 @@
     /** Returns this state with an updated registration. */
     public PeerState withRegistered(boolean newRegistered) {
         return new PeerState(
-                id, hall, region, address, newRegistered, lastSeen, revision, serving, platformOk, leaving);
+                id, hall, region, address, newRegistered, lastContact, revision, serving, platformOk, leaving);
     }
 
     /** Returns this state updated by a heartbeat; the revision never decreases. */
