--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/FleetHost.java
@@ -30,14 +30,14 @@
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.common.Unreadable;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.FleetPlanner;
 import org.lupinpaddle.core.fleet.FleetPort;
 import org.lupinpaddle.core.fleet.FleetTiming;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.RecentOrders;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.queue.ServiceConfig;
 import org.lupinpaddle.core.upkeep.EvacuationRecord;
 import org.lupinpaddle.core.upkeep.UpkeepRecord;
@@ -51,126 +51,140 @@
 import org.lupinpaddle.daemon.port.StoreItem;
 
 /**
- * Runs the planner of the fleet while this entry owns it. The platform need not check fences of orders, so an
- * order goes out only while the lease, counted from when its newest renewal was sent, outlasts the call, and only
- * after a write under the owner's fence has told which instances are ordered. A successor leaves those alone for the
- * time that the platform asks between two owners' orders of one instance; all others it may order at once.
+ * Runs the fleet planner while this entry owns the fleet. The platform need not check the fencing tokens of orders.
+ * Therefore an order is sent only while the lease, counted from when its latest renewal was sent, outlasts the call,
+ * and only after a write under the owner's fence has recorded which instances are ordered. A successor does not order
+ * these instances for the time that the platform requires between two owners' orders of one instance; it may order
+ * all others at once.
  */
 final class FleetHost implements FleetPort, PrefixWatch.Listener, AutoCloseable {
 
     private static final long TICK_MILLIS = 100;
-    // One line a second: an owner that is asked for more than it can write shows here first.
-    private static final long TELL_MILLIS = 1_000;
+    // One line per second; it shows first when an owner has more to write than the store accepts.
+    private static final long LOAD_LOG_MILLIS = 1_000;
     private static final long LIST_MILLIS = 500;
-    // The ownership that a write has shown counts for so long after it was sent; an entry that was frozen meanwhile
-    // writes again. A slow store takes 250 ms for its answer.
-    private static final long FRESH_MILLIS = 700;
-    // An order reaches the platform at the latest so long after its record was written.
-    private static final long ORDER_MILLIS = FRESH_MILLIS + InstanceOrders.CALL_MILLIS;
-    // So often the record of orders is written anew, with how old they are by then and without those too old to matter:
-    // a successor leaves few instances alone, and none for longer than it must.
-    private static final long PRUNE_EVERY_MILLIS = 500;
-    // Between two looks whether what a hand-over waits for is written: a write takes 10 ms.
-    private static final long HAND_OVER_LOOK_MILLIS = 10;
+    // The time for which a write confirms the ownership, counted from when it was sent; an entry that was suspended
+    // meanwhile writes again. A slow store takes 250 ms to answer.
+    private static final long MAX_CONFIRMATION_AGE_MILLIS = 700;
+    // The maximum time between writing the record of an order and the order reaching the platform.
+    private static final long ORDER_DEADLINE_MILLIS = MAX_CONFIRMATION_AGE_MILLIS + InstanceOrders.CALL_MILLIS;
+    // Interval at which the record of recent orders is rewritten with their current ages and without expired ones, so
+    // that a successor holds back as few instances as possible, and none for longer than necessary.
+    private static final long PRUNE_INTERVAL_MILLIS = 500;
+    // Interval at which a hand-over checks whether the pending writes are durable; a write takes 10 ms.
+    private static final long HAND_OVER_CHECK_MILLIS = 10;
     private static final long RETRY_MILLIS = 150;
-    /** Stands before the names of instances whose rows can not be read. */
-    private static final String INSTANCES = "instance/";
+    /** Key prefix for instances whose rows are unreadable. */
+    private static final String INSTANCE_PREFIX = "instance/";
 
-    // Between the check of the lease and the order's way out.
+    // Margin between checking the lease and sending the order.
     private static final long SLACK_MILLIS = 100;
 
-    private final Entry entry;
+    private final Context context;
     private final long fence;
-    private final Map<String, Errand> toOrder = new LinkedHashMap<>();
+    private final Map<String, InstanceOperation> pendingOrders = new LinkedHashMap<>();
     private final OrderedInstances ordered;
     private final Set<String> unanswered = new HashSet<>();
-    private final OwnedRecords owned;
+    private final FencedRecordWriter owned;
     private final PrefixWatch records;
     private final PrefixWatch waves;
     private final FleetPlanner planner;
-    private final StartPatience patience;
+    private final StartupWatchdog watchdog;
     private final long wonAt;
-    private boolean earlierKnown;
-    /** Whether which instances were ordered lately could not be read; then it is not overwritten either. */
-    private boolean earlierUnread;
+    private boolean earlierOrdersRead;
+    /** Whether the record of recent orders was unreadable; it is not overwritten either in that case. */
+    private boolean earlierOrdersUnreadable;
 
     private boolean writingOrders;
-    /** Whether the newest write of the record was answered: while the store loses answers it is written for orders only. */
+    /**
+     * Whether the latest write of the record was answered. While the store loses answers, the record is written only
+     * for new orders.
+     */
     private boolean recordSaved;
 
     private @Nullable CompletableFuture<Void> handedOver;
-    /** Whether the successor has been told which instances it has to leave alone. */
-    private boolean successorTold;
+    /** Whether the successor has been told which instances it must not order yet. */
+    private boolean successorInformed;
 
-    private long tellSuccessorAt = Long.MIN_VALUE;
-    /** Whether the entry ends with the hand-over. */
-    private boolean entryEnds;
+    private long nextSuccessorWriteAt = Long.MIN_VALUE;
+    /** Whether the entry shuts down after the hand-over. */
+    private boolean shuttingDown;
 
     private boolean closed;
 
     /**
-     * What the planner's host is given by its entry.
+     * The entry's components that the host uses.
      *
      * @param name the entry's name
      * @param store the platform's store
-     * @param instances the list of instances and orders on them
-     * @param names where the operators' records lie
+     * @param instances lists and orders instances
+     * @param names locates the operators' records
      * @param loop the event loop
      * @param ownership this entry's lease
-     * @param wall the time of day
-     * @param timing the planner's times
-     * @param meters the entry's figures
-     * @param unreadable entries of the store that can not be read
+     * @param wall the wall clock
+     * @param timing the planner's timing
+     * @param meters the entry's metrics
+     * @param unreadable the unreadable entries of the store
      */
-    record Entry(
+    record Context(
             String name,
             KeyValueStore store,
             InstanceOrders instances,
             PlatformRecords names,
             EventLoop loop,
-            OwnershipKeeper ownership,
+            OwnershipManager ownership,
             Clock wall,
             FleetTiming timing,
-            JobMeters meters,
+            JobMetrics meters,
             UnreadableEntries unreadable) {
 
-        /** Returns how long after a change of owner an instance that was ordered lately is left alone. */
+        /** Returns how long after a change of owner a recently ordered instance must not be ordered. */
         static long takeOverMillis(long ownerLeaseMillis) {
-            return ORDER_MILLIS + ownerLeaseMillis + SLACK_MILLIS;
+            return ORDER_DEADLINE_MILLIS + ownerLeaseMillis + SLACK_MILLIS;
         }
     }
 
-    FleetHost(Entry entry, long fence) {
-        this.entry = entry;
+    FleetHost(Context context, long fence) {
+        this.context = context;
         this.fence = fence;
-        wonAt = entry.loop.clock().millis();
-        ordered = new OrderedInstances(entry.timing.takeOverMillis(), ORDER_MILLIS);
-        planner = new FleetPlanner(entry.timing, this, entry.loop.clock(), entry.wall);
-        patience = new StartPatience(
-                entry.loop,
-                () -> !closed && !earlierKnown,
-                entry.ownership::reachesStore,
-                () -> entry.ownership.leaveToOthers(JobNode.FLEET, fence, "the fleet's records can not be read"));
-        owned = new OwnedRecords(entry.store, entry.loop, JobNode.FLEET, fence);
-        records = new PrefixWatch(entry.store, entry.loop, JobKeys.fleet(), this);
+        wonAt = context.loop.clock().millis();
+        ordered = new OrderedInstances(context.timing.takeOverMillis(), ORDER_DEADLINE_MILLIS);
+        planner = new FleetPlanner(context.timing, this, context.loop.clock(), context.wall);
+        watchdog = new StartupWatchdog(
+                context.loop,
+                () -> !closed && !earlierOrdersRead,
+                context.ownership::reachesStore,
+                () -> context.ownership.deferToOthers(JobNode.FLEET, fence, "the fleet's records cannot be read"));
+        owned = new FencedRecordWriter(context.store, context.loop, JobNode.FLEET, fence);
+        records = new PrefixWatch(context.store, context.loop, SchedulerKeys.fleet(), this);
         waves = new PrefixWatch(
-                entry.store, entry.loop, entry.names.wavePrefix(), PrefixWatch.Listener.same(this::wavesChanged));
+                context.store,
+                context.loop,
+                context.names.wavePrefix(),
+                PrefixWatch.Listener.forAnyChange(this::wavesChanged));
     }
 
     void start(List<ServiceConfig> services) {
         planner.onServices(services);
         records.start();
         waves.start();
-        list();
+        listInstances();
         tick();
-        entry.loop.after(PRUNE_EVERY_MILLIS, this::prune);
-        entry.loop.after(TELL_MILLIS, this::tell);
+        context.loop.after(PRUNE_INTERVAL_MILLIS, this::prune);
+        context.loop.after(LOAD_LOG_MILLIS, this::logLoad);
     }
 
-    private void tell() {
+    private void logLoad() {
         if (!closed) {
-            Log.info("fleet-load", "fence", fence, "errands", planner.errands(), "writes-waiting", owned.waiting());
-            entry.loop.after(TELL_MILLIS, this::tell);
+            Log.info(
+                    "fleet-load",
+                    "fence",
+                    fence,
+                    "errands",
+                    planner.operationCount(),
+                    "writes-waiting",
+                    owned.pendingWrites());
+            context.loop.after(LOAD_LOG_MILLIS, this::logLoad);
         }
     }
 
@@ -178,55 +192,55 @@
         planner.onServices(services);
     }
 
-    private void list() {
+    private void listInstances() {
         if (closed) {
             return;
         }
-        entry.instances
+        context.instances
                 .list()
-                .whenComplete((all, why) -> entry.loop.execute(() -> {
+                .whenComplete((all, why) -> context.loop.execute(() -> {
                     if (why != null) {
                         Log.info("instances-unread", "why", StoreFailure.text(why));
                     } else if (!closed) {
-                        tellUnreadable(all);
+                        reportUnreadable(all);
                         planner.onInstances(all);
                         recordsChanged();
                     }
-                    entry.loop.after(LIST_MILLIS, this::list);
+                    context.loop.after(LIST_MILLIS, this::listInstances);
                 }));
     }
 
-    /** The rows have no keys and no revisions of the store; their instances' names stand for them. */
-    private void tellUnreadable(InstanceList all) {
+    /** Reports unreadable rows under their instance names, because rows have no store keys or revisions. */
+    private void reportUnreadable(InstanceList all) {
         Map<String, Unreadable> byKey = new HashMap<>();
-        all.unreadable().forEach((id, why) -> byKey.put(INSTANCES + id, why));
-        entry.unreadable.onlyThese(INSTANCES, byKey.keySet());
-        byKey.forEach(
-                (key, why) -> entry.unreadable.unreadable(new UnreadableEntries.Entry(Kind.INSTANCE, key, 0, why)));
+        all.unreadable().forEach((id, why) -> byKey.put(INSTANCE_PREFIX + id, why));
+        context.unreadable.retainOnly(INSTANCE_PREFIX, byKey.keySet());
+        byKey.forEach((key, why) ->
+                context.unreadable.markUnreadable(new UnreadableEntries.Entry(Kind.INSTANCE, key, 0, why)));
     }
 
     private void tick() {
         if (closed) {
             return;
         }
-        if (earlierKnown && !earlierUnread) {
-            forgetOverLives();
+        if (earlierOrdersRead && !earlierOrdersUnreadable) {
+            dropOrdersOfEndedLives();
         }
         if (!isHandingOver()) {
             planner.tick();
         }
-        entry.loop.after(TICK_MILLIS, this::tick);
+        context.loop.after(TICK_MILLIS, this::tick);
     }
 
     @Override
     public void onPage() {
-        patience.moved();
+        watchdog.onProgress();
     }
 
     @Override
     public void onRead() {
-        if (!earlierKnown) {
-            takeEarlierOrders();
+        if (!earlierOrdersRead) {
+            readEarlierOrders();
         }
         recordsChanged();
     }
@@ -236,144 +250,150 @@
         recordsChanged();
     }
 
-    /** The first read came after the ownership was won: no earlier owner can have added to the record since. */
-    private void takeEarlierOrders() {
-        earlierKnown = true;
+    /**
+     * Reads the orders of earlier owners. The first read follows the acquisition of the ownership, so no earlier
+     * owner can have added to the record since.
+     */
+    private void readEarlierOrders() {
+        earlierOrdersRead = true;
         records.items().stream()
-                .filter(i -> i.key().equals(JobKeys.recentOrders()))
+                .filter(i -> i.key().equals(SchedulerKeys.recentOrders()))
                 .forEach(i -> {
-                    owned.known(i.key(), i.revision());
-                    RecentOrders r = taken(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
-                    earlierUnread = r == null;
+                    owned.expectRevision(i.key(), i.revision());
+                    RecentOrders r = recordOrNull(Kind.RECENT_ORDERS, i, i.read(RecentOrders.class));
+                    earlierOrdersUnreadable = r == null;
                     if (r != null) {
-                        ordered.takeOver(r, wonAt);
+                        ordered.inherit(r, wonAt);
                     }
                 });
-        if (earlierUnread) {
-            // Any instance may have been ordered lately: none is, until no earlier owner's order can be under way.
-            Log.warn("earlier-orders-unknown", "fence", fence, "waits-millis", entry.timing.takeOverMillis());
-            entry.loop.after(entry.timing.takeOverMillis(), this::earlierOrdersPast);
+        if (earlierOrdersUnreadable) {
+            // Any instance may have been ordered recently, so none is ordered until no order of an earlier owner can
+            // still be in flight.
+            Log.warn("earlier-orders-unknown", "fence", fence, "waits-millis", context.timing.takeOverMillis());
+            context.loop.after(context.timing.takeOverMillis(), this::onEarlierOrdersExpired);
             return;
         }
-        Map<String, Long> until = ordered.leftAloneUntil();
-        planner.onEarlierOrders(until);
+        Map<String, Long> until = ordered.blockedUntil();
+        planner.onPredecessorOrders(until);
         Log.info("fleet-owner-started", "fence", fence, "ordered-lately", until.size());
     }
 
-    private void earlierOrdersPast() {
-        earlierUnread = false;
-        planner.onEarlierOrders(Map.of());
+    private void onEarlierOrdersExpired() {
+        earlierOrdersUnreadable = false;
+        planner.onPredecessorOrders(Map.of());
     }
 
-    /** Instances that a life which is over has ordered need not be left alone. */
-    private void forgetOverLives() {
-        int over = ordered.dropOver(entry.ownership::isOver);
-        Map<String, Long> until = ordered.leftAloneUntil();
-        if (over > 0) {
-            Log.info("earlier-orders-over", "instances", over, "left", until.size());
+    /** Releases the instances that were ordered by processes which have ended. */
+    private void dropOrdersOfEndedLives() {
+        int ended = ordered.dropEnded(context.ownership::hasEnded);
+        Map<String, Long> until = ordered.blockedUntil();
+        if (ended > 0) {
+            Log.info("earlier-orders-over", "instances", ended, "left", until.size());
         }
-        planner.onEarlierOrders(until);
+        planner.onPredecessorOrders(until);
     }
 
     private void recordsChanged() {
-        entry.unreadable.onlyThese(JobKeys.fleet(), records.items());
+        context.unreadable.retainOnly(SchedulerKeys.fleet(), records.items());
         Map<EvacuationRecord, String> evacuations = new HashMap<>();
         for (StoreItem i : records.items()) {
-            if (JobKeys.isEvacuation(i.key())) {
-                owned.seen(i.key(), i.revision());
-                EvacuationRecord r = taken(Kind.EVACUATION, i, EvacuationFeed.read(i));
+            if (SchedulerKeys.isEvacuation(i.key())) {
+                owned.observeRevision(i.key(), i.revision());
+                EvacuationRecord r = recordOrNull(Kind.EVACUATION, i, EvacuationFeed.read(i));
                 if (r != null && owned.isCurrent(i.key(), i.revision())) {
-                    evacuations.put(r, JobKeys.evacuatedService(i.key()));
+                    evacuations.put(r, SchedulerKeys.evacuatedService(i.key()));
                 }
             }
-            JobKeys.reportOf(i.key()).ifPresent(s -> takeReport(s, i));
-            JobKeys.upkeepOf(i.key()).ifPresent(w -> takeUpkeep(w, i));
+            SchedulerKeys.reportOf(i.key()).ifPresent(s -> processReport(s, i));
+            SchedulerKeys.upkeepOf(i.key()).ifPresent(w -> processUpkeep(w, i));
         }
         planner.onEvacuations(evacuations);
     }
 
-    private void takeReport(String service, StoreItem i) {
-        ServiceReport r = taken(Kind.REPORT, i, i.read(ServiceReport.class));
+    private void processReport(String service, StoreItem i) {
+        ServiceReport r = recordOrNull(Kind.REPORT, i, i.read(ServiceReport.class));
         if (r != null) {
             planner.onReport(service, r);
         }
     }
 
-    private void takeUpkeep(long wave, StoreItem i) {
-        UpkeepRecord r = taken(Kind.UPKEEP, i, i.read(UpkeepRecord.class));
+    private void processUpkeep(long wave, StoreItem i) {
+        UpkeepRecord r = recordOrNull(Kind.UPKEEP, i, i.read(UpkeepRecord.class));
         if (r != null) {
             planner.onUpkeep(wave, r);
         }
     }
 
-    private <T> @Nullable T taken(Kind kind, StoreItem i, Either<Unreadable, T> record) {
-        return entry.unreadable.taken(kind, i, record);
+    private <T> @Nullable T recordOrNull(Kind kind, StoreItem i, Either<Unreadable, T> record) {
+        return context.unreadable.recordOrNull(kind, i, record);
     }
 
     private void wavesChanged() {
-        entry.unreadable.onlyThese(entry.names.wavePrefix(), waves.items());
+        context.unreadable.retainOnly(context.names.wavePrefix(), waves.items());
         planner.onWaves(waves.items().stream()
-                .map(i -> taken(Kind.WAVE, i, entry.names.wave(i)))
+                .map(i -> recordOrNull(Kind.WAVE, i, context.names.wave(i)))
                 .filter(Objects::nonNull)
                 .toList());
     }
 
     @Override
-    public void askEvacuation(String service, EvacuationRecord record) {
-        write(Map.of(JobKeys.evacuation(service, record.worker()), RecordCodec.write(record)));
+    public void requestEvacuation(String service, EvacuationRecord record) {
+        write(Map.of(SchedulerKeys.evacuation(service, record.worker()), RecordCodec.write(record)));
     }
 
     @Override
     public void endEvacuation(String service, String worker) {
-        write(Map.of(JobKeys.evacuation(service, worker), ""));
+        write(Map.of(SchedulerKeys.evacuation(service, worker), ""));
     }
 
     @Override
     public void writeUpkeep(long wave, UpkeepRecord record) {
-        write(Map.of(JobKeys.upkeep(wave), RecordCodec.write(record)));
+        write(Map.of(SchedulerKeys.upkeep(wave), RecordCodec.write(record)));
     }
 
     @Override
-    public void tellWaveRunning(long wave) {
-        write(Map.of(entry.names.waveStatusKey(wave), entry.names.waveStatus(wave, false)));
+    public void reportWaveRunning(long wave) {
+        write(Map.of(context.names.waveStatusKey(wave), context.names.waveStatus(wave, false)));
     }
 
     @Override
-    public void tellWaveCompleted(long wave, UpkeepRecord record) {
+    public void reportWaveCompleted(long wave, UpkeepRecord record) {
         write(Map.of(
-                JobKeys.upkeep(wave),
+                SchedulerKeys.upkeep(wave),
                 RecordCodec.write(record),
-                entry.names.waveStatusKey(wave),
-                entry.names.waveStatus(wave, true)));
+                context.names.waveStatusKey(wave),
+                context.names.waveStatus(wave, true)));
     }
 
     private void write(Map<String, String> values) {
         if (!closed) {
-            owned.writeInOrder(values, () -> entry.ownership.giveUp(JobNode.FLEET, fence, "the store refused a write"));
+            owned.writeInOrder(
+                    values, () -> context.ownership.giveUp(JobNode.FLEET, fence, "the store refused a write"));
         }
     }
 
-    /** Orders that are asked for in one pass go out together. */
+    /** Collects the orders of one planning pass and sends them together. */
     @Override
-    public void order(String instance, Errand errand) {
-        toOrder.put(instance, errand);
-        entry.loop.execute(this::sendOrders);
+    public void order(String instance, InstanceOperation errand) {
+        pendingOrders.put(instance, errand);
+        context.loop.execute(this::sendOrders);
     }
 
     /**
-     * Writes which instances are about to be ordered, under the condition that this entry still owns the fleet, then
-     * orders: a lease can be renewed after its keys are gone, and a successor has to know.
+     * Records which instances are about to be ordered, on condition that this entry still owns the fleet, and then
+     * sends the orders. The record is required because a lease can be renewed after its keys are gone, and because a
+     * successor has to know the orders.
      */
     private void sendOrders() {
-        if (closed || isHandingOver() || writingOrders || toOrder.isEmpty()) {
+        if (closed || isHandingOver() || writingOrders || pendingOrders.isEmpty()) {
             return;
         }
-        Map<String, Errand> orders = new LinkedHashMap<>(toOrder);
-        toOrder.clear();
-        long writtenAt = entry.loop.clock().millis();
-        ordered.ordering(orders.keySet(), entry.ownership.life(), writtenAt);
-        writeRecent(outcome -> {
-            if (outcome == OwnedRecords.Outcome.SAVED) {
+        Map<String, InstanceOperation> orders = new LinkedHashMap<>(pendingOrders);
+        pendingOrders.clear();
+        long writtenAt = context.loop.clock().millis();
+        ordered.onOrdering(orders.keySet(), context.ownership.life(), writtenAt);
+        writeRecentOrders(outcome -> {
+            if (outcome == FencedRecordWriter.Outcome.SAVED) {
                 orders.forEach((i, errand) -> orderAsOwner(i, errand, writtenAt));
             } else {
                 Log.info("fleet-orders-held-back", "count", orders.size(), "outcome", outcome);
@@ -382,17 +402,17 @@
         });
     }
 
-    private void writeRecent(Consumer<OwnedRecords.Outcome> onEnd) {
+    private void writeRecentOrders(Consumer<FencedRecordWriter.Outcome> onEnd) {
         writingOrders = true;
-        String record = RecordCodec.write(ordered.record(entry.loop.clock().millis()));
-        owned.write(Map.of(JobKeys.recentOrders(), record), outcome -> {
+        String record = RecordCodec.write(ordered.record(context.loop.clock().millis()));
+        owned.write(Map.of(SchedulerKeys.recentOrders(), record), outcome -> {
             writingOrders = false;
-            recordSaved = outcome == OwnedRecords.Outcome.SAVED;
+            recordSaved = outcome == FencedRecordWriter.Outcome.SAVED;
             onEnd.accept(outcome);
-            if (outcome == OwnedRecords.Outcome.NOT_OWNER) {
-                entry.ownership.giveUp(JobNode.FLEET, fence, "its key is not this owner's any more");
+            if (outcome == FencedRecordWriter.Outcome.NOT_OWNER) {
+                context.ownership.giveUp(JobNode.FLEET, fence, "this entry no longer owns the fleet");
             }
-            entry.loop.execute(this::sendOrders);
+            context.loop.execute(this::sendOrders);
         });
     }
 
@@ -400,25 +420,25 @@
         if (closed || isHandingOver()) {
             return;
         }
-        long now = entry.loop.clock().millis();
+        long now = context.loop.clock().millis();
         boolean ages = recordSaved && ordered.hasWaiting(now);
-        if ((ages || ordered.hasOld(now)) && !writingOrders) {
-            writeRecent(outcome -> Log.debug("fleet-record-pruned", "outcome", outcome));
+        if ((ages || ordered.hasExpired(now)) && !writingOrders) {
+            writeRecentOrders(outcome -> Log.debug("fleet-record-pruned", "outcome", outcome));
         }
-        entry.loop.after(PRUNE_EVERY_MILLIS, this::prune);
+        context.loop.after(PRUNE_INTERVAL_MILLIS, this::prune);
     }
 
     /**
-     * Gives no more orders and tells the successor so. Where this process ends, only instances whose order has no answer yet
-     * must be left alone, those that an owner before this one ordered lately, whose process may go on, and those counted
-     * that are down for upkeep; where it lives on, all that were ordered lately. The future ends when that is durable, and
-     * with it all records that were to be written before. Its caller waits only for so long; the successor then goes by the
-     * records as they are.
+     * Stops sending orders and records for the successor which instances it must not order yet. If this process ends,
+     * these are the instances whose order is unanswered, those ordered recently by an earlier owner whose process may
+     * still run, and those that are down for maintenance and count against its limit. If this process lives on, they
+     * are all recently ordered instances. The future completes when this record and all writes queued before it are
+     * durable. The caller waits only for a limited time; after that the successor uses the records as they are.
      */
-    CompletableFuture<Void> handOver(HandOver why) {
+    CompletableFuture<Void> handOver(HandOverReason why) {
         if (handedOver == null) {
             handedOver = new CompletableFuture<>();
-            entryEnds = why.endsTheEntry();
+            shuttingDown = why.isShutdown();
             finishHandOver(handedOver);
         }
         return handedOver;
@@ -429,65 +449,65 @@
     }
 
     private void finishHandOver(CompletableFuture<Void> done) {
-        boolean nothingToTell = closed || !earlierKnown || earlierUnread;
-        if (nothingToTell || (successorTold && owned.waiting() == 0)) {
+        boolean nothingToWrite = closed || !earlierOrdersRead || earlierOrdersUnreadable;
+        if (nothingToWrite || (successorInformed && owned.pendingWrites() == 0)) {
             done.complete(null);
             return;
         }
-        if (!successorTold && !writingOrders && entry.loop.clock().millis() >= tellSuccessorAt) {
-            tellSuccessor();
+        if (!successorInformed && !writingOrders && context.loop.clock().millis() >= nextSuccessorWriteAt) {
+            writeOrdersForSuccessor();
         }
-        entry.loop.after(HAND_OVER_LOOK_MILLIS, () -> finishHandOver(done));
+        context.loop.after(HAND_OVER_CHECK_MILLIS, () -> finishHandOver(done));
     }
 
-    private void tellSuccessor() {
-        if (entryEnds) {
+    private void writeOrdersForSuccessor() {
+        if (shuttingDown) {
             Set<String> down = planner.inUpkeep();
-            // What others have ordered is as recent as before: they may live, and be in touch.
-            String own = entry.ownership.life();
+            // Orders of other owners are kept: their processes may still run and reach the platform.
+            String own = context.ownership.life();
             ordered.keepOnly((i, life) -> !life.equals(own) || unanswered.contains(i) || down.contains(i));
         }
-        writeRecent(outcome -> {
-            successorTold = outcome == OwnedRecords.Outcome.SAVED;
-            tellSuccessorAt = entry.loop.clock().millis() + RETRY_MILLIS;
+        writeRecentOrders(outcome -> {
+            successorInformed = outcome == FencedRecordWriter.Outcome.SAVED;
+            nextSuccessorWriteAt = context.loop.clock().millis() + RETRY_MILLIS;
             Log.info("fleet-handed-over", "outcome", outcome, "unanswered", unanswered.size());
         });
     }
 
-    private void orderAsOwner(String instance, Errand errand, long writtenAt) {
-        long now = entry.loop.clock().millis();
-        boolean lasts = entry.ownership.leaseEndsAt() - now > InstanceOrders.CALL_MILLIS + SLACK_MILLIS;
-        if (closed || isHandingOver() || !lasts || now - writtenAt > FRESH_MILLIS) {
+    private void orderAsOwner(String instance, InstanceOperation errand, long writtenAt) {
+        long now = context.loop.clock().millis();
+        boolean lasts = context.ownership.leaseEndsAt() - now > InstanceOrders.CALL_MILLIS + SLACK_MILLIS;
+        if (closed || isHandingOver() || !lasts || now - writtenAt > MAX_CONFIRMATION_AGE_MILLIS) {
             refused(instance, errand);
             return;
         }
         unanswered.add(instance);
-        entry.instances
-                .order(instance, errand, entry.name, fence)
-                .thenAcceptAsync(o -> ordered(instance, errand, o), entry.loop::execute);
+        context.instances
+                .order(instance, errand, context.name, fence)
+                .thenAcceptAsync(o -> ordered(instance, errand, o), context.loop::execute);
     }
 
-    private void refused(String instance, Errand errand) {
-        entry.loop.execute(() -> planner.onOrdered(instance, errand, InstanceOrderOutcome.REFUSED));
+    private void refused(String instance, InstanceOperation errand) {
+        context.loop.execute(() -> planner.onOrderOutcome(instance, errand, InstanceOrderOutcome.REFUSED));
     }
 
-    private void ordered(String instance, Errand errand, InstanceOrderOutcome o) {
-        entry.meters.instanceOrdered(o);
+    private void ordered(String instance, InstanceOperation errand, InstanceOrderOutcome o) {
+        context.meters.instanceOrdered(o);
         if (o != InstanceOrderOutcome.UNKNOWN) {
             unanswered.remove(instance);
-            ordered.answered(instance, entry.loop.clock().millis());
+            ordered.onAnswered(instance, context.loop.clock().millis());
         }
         if (closed) {
             return;
         }
         if (o == InstanceOrderOutcome.FENCED) {
-            entry.ownership.giveUp(JobNode.FLEET, fence, "an order was refused by a fence");
+            context.ownership.giveUp(JobNode.FLEET, fence, "an order was rejected because of its fence");
         }
-        planner.onOrdered(instance, errand, o);
+        planner.onOrderOutcome(instance, errand, o);
     }
 
     @Override
-    public void note(String kind, String instance, String detail) {
+    public void logDecision(String kind, String instance, String detail) {
         Log.info("fleet", "kind", kind, "instance", instance, "why", detail);
     }
 
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/JobNode.java
@@ -37,52 +37,53 @@
 import org.lupinpaddle.daemon.settings.JobSettings;
 
 /**
- * One entry on a platform: takes jobs from callers, and owns the services that fall to it. It keeps nothing
- * that the store does not hold.
+ * Runs an entry on the platform: accepts jobs from callers and owns the services assigned to it. All of its state is
+ * kept in the store.
  */
-public final class JobNode implements OwnershipKeeper.Listener, AutoCloseable {
+public final class JobNode implements OwnershipManager.Listener, AutoCloseable {
 
-    // An owner that hears nothing of the store goes on keeping its workers' tasks alive for this long: the
-    // store's outages last 3 to 9 s. A new owner waits as long for workers that it can not reach.
-    private static final long BLIND_MILLIS = 12_000;
+    // An owner without contact to the store keeps its workers' tasks alive for this long; outages of the store last 3
+    // to 9 s. A new owner waits equally long for workers that it cannot reach.
+    private static final long MAX_STORE_SILENCE_MILLIS = 12_000;
     private static final long CHECK_MILLIS = 250;
-    // Readiness follows the store: an entry that can not reach it can accept nothing, and callers had better go to
-    // another hall. A lease is renewed every 450 ms; one renewal without answer takes 1.2 s until the next is answered.
+    // An entry that cannot reach the store cannot accept jobs, so it reports itself as not ready and callers should
+    // use another hall. A lease is renewed every 450 ms; after one unanswered renewal it takes 1.2 s until the next
+    // one is answered.
     private static final long READY_MILLIS = 1_300;
 
-    /** The duty of the fleet's owner; no service can have this name. */
+    /** The duty of owning the fleet; no service can have this name. */
     static final String FLEET = "@fleet";
 
     private final EventLoop loop;
     private final ConfigurationFeed configuration;
-    private final Supplier<WorkerFeed> feeds;
+    private final Supplier<WorkerFeed> workerFeedFactory;
     private @Nullable WorkerFeed workers;
-    private final OwnershipKeeper ownership;
-    private final JobMeters meters;
+    private final OwnershipManager ownership;
+    private final JobMetrics meters;
     private final UnreadableEntries unreadable;
     private final JobIntake intake;
-    private final JobQuestions questions;
-    private final SchedulerHost.Entry shared;
-    private final FleetHost.Entry fleetShared;
+    private final JobCommandExecutor commandExecutor;
+    private final SchedulerHost.Context schedulerContext;
+    private final FleetHost.Context fleetContext;
     private final Map<String, SchedulerHost> hosts = new HashMap<>();
     private @Nullable FleetHost fleet;
     private volatile boolean ready;
-    private volatile long unbegun;
+    private volatile long unstartedDuties;
     private boolean stopping;
 
     /**
-     * What a node is made of.
+     * The components and settings of a node.
      *
      * @param name the entry's name
-     * @param capacity how much it can do, in thousandths of a core: duties go where there is most
+     * @param capacity the entry's CPU capacity in thousandths of a core; duties prefer entries with the most capacity
      * @param store the platform's store
      * @param records the records of operators and workers
-     * @param orders orders to workers
-     * @param advice which workers may run a step
-     * @param instances the list of instances and orders on them
-     * @param limits what the platform holds the entry to
-     * @param wall the time of day
-     * @param meters the entry's figures
+     * @param orders sends orders to workers
+     * @param advice advises which workers may run a step
+     * @param instances lists and orders instances
+     * @param limits the limits that the platform sets for the entry
+     * @param wall the wall clock
+     * @param meters the entry's metrics
      */
     public record Parts(
             String name,
@@ -94,22 +95,22 @@
             InstanceOrders instances,
             JobSettings.Bounds limits,
             Clock wall,
-            JobMeters meters) {}
+            JobMetrics meters) {}
 
-    /** Makes a node; it does nothing until {@link #start}. */
+    /** Creates a node, which is inactive until {@link #start}. */
     public JobNode(EventLoop loop, Parts p) {
         this.loop = loop;
         meters = p.meters();
         unreadable = new UnreadableEntries(meters);
         configuration = new ConfigurationFeed(p.store(), loop, p.records(), unreadable, this::configurationChanged);
-        feeds = () -> new WorkerFeed(p.store(), loop, p.records(), unreadable, this::workersChanged);
-        ownership = new OwnershipKeeper(p.store(), loop, p.name(), p.capacity(), this);
+        workerFeedFactory = () -> new WorkerFeed(p.store(), loop, p.records(), unreadable, this::workersChanged);
+        ownership = new OwnershipManager(p.store(), loop, p.name(), p.capacity(), this);
         addGauges();
         intake = new JobIntake(p.store(), loop, p.records(), configuration, p.wall(), this::reachesStore);
-        questions = new JobQuestions(p.store(), p.records(), intake);
-        SchedulerTiming timing =
-                SchedulerTiming.usual(p.limits().longestHoldMillis(), p.limits().stopMillis(), BLIND_MILLIS);
-        shared = new SchedulerHost.Entry(
+        commandExecutor = new JobCommandExecutor(p.store(), p.records(), intake);
+        SchedulerTiming timing = SchedulerTiming.usual(
+                p.limits().longestHoldMillis(), p.limits().stopMillis(), MAX_STORE_SILENCE_MILLIS);
+        schedulerContext = new SchedulerHost.Context(
                 p.store(),
                 p.orders(),
                 p.advice(),
@@ -121,7 +122,7 @@
                 p.meters(),
                 unreadable,
                 configuration::workspaces);
-        fleetShared = new FleetHost.Entry(
+        fleetContext = new FleetHost.Context(
                 p.name(),
                 p.store(),
                 p.instances(),
@@ -129,14 +130,13 @@
                 loop,
                 ownership,
                 p.wall(),
-                FleetTiming.usual(
+                FleetTiming.defaults(
                         p.limits().upkeepMillis(),
-                        FleetHost.Entry.takeOverMillis(p.limits().ownerLeaseMillis())),
+                        FleetHost.Context.takeOverMillis(p.limits().ownerLeaseMillis())),
                 p.meters(),
                 unreadable);
     }
 
-    /** Begins. */
     public void start() {
         loop.execute(() -> {
             configuration.start();
@@ -148,7 +148,7 @@
     private void addGauges() {
         meters.gauge("ready", () -> ready ? 1 : 0);
         meters.gauge("owned.duties", () -> ownership.owned().size());
-        meters.gauge("unbegun.duties", () -> unbegun);
+        meters.gauge("unbegun.duties", () -> unstartedDuties);
         meters.gauge("store.lease.age.millis", () -> loop.clock().millis() - ownership.confirmedAt());
         meters.gauge(
                 "configuration.version",
@@ -158,17 +158,17 @@
         meters.gauge("log.lines.left.out", Log::leftOut);
     }
 
-    /** Returns what callers ask. Use it on the event loop. */
+    /** Returns the handler of callers' requests. Use it on the event loop only. */
     public JobIntake intake() {
         return intake;
     }
 
-    /** Returns what operators ask. */
-    public JobQuestions questions() {
-        return questions;
+    /** Returns the executor of operators' commands. */
+    public JobCommandExecutor commandExecutor() {
+        return commandExecutor;
     }
 
-    /** Returns whether callers had better come to this entry. Any thread may ask. */
+    /** Returns whether callers should use this entry. Thread-safe. */
     public boolean isReady() {
         return ready;
     }
@@ -179,14 +179,14 @@
 
     private void check() {
         long now = loop.clock().millis();
-        unbegun = hosts.values().stream().filter(h -> !h.hasBegun()).count();
+        unstartedDuties = hosts.values().stream().filter(h -> !h.isStarted()).count();
         boolean next = !stopping && reachesStore() && intake.isConfigured();
         if (next != ready) {
             ready = next;
             Log.info("readiness", "ready", next, "store-heard-millis-ago", now - ownership.confirmedAt());
         }
-        if (now - ownership.confirmedAt() > BLIND_MILLIS) {
-            String why = "nothing heard of the store for " + BLIND_MILLIS + " ms";
+        if (now - ownership.confirmedAt() > MAX_STORE_SILENCE_MILLIS) {
+            String why = "no answer from the store for " + MAX_STORE_SILENCE_MILLIS + " ms";
             ownership.owned().forEach((duty, fence) -> ownership.giveUp(duty, fence, why));
         }
     }
@@ -210,11 +210,14 @@
         hosts.values().forEach(SchedulerHost::onWorkers);
     }
 
-    /** Workers' records change all the time; only owners of services follow them. */
+    /**
+     * Starts the worker watch if necessary. Workers' records change constantly, so only owners of services follow
+     * them.
+     */
     private WorkerFeed followWorkers() {
         WorkerFeed feed = workers;
         if (feed == null) {
-            feed = feeds.get();
+            feed = workerFeedFactory.get();
             workers = feed;
             feed.start();
         }
@@ -226,23 +229,23 @@
         meters.dutyChanged("won");
         Log.info("ownership-won", "duty", duty, "fence", fence);
         if (duty.equals(FLEET)) {
-            fleet = new FleetHost(fleetShared, fence);
+            fleet = new FleetHost(fleetContext, fence);
             fleet.start(configuration.current().map(JobConfiguration::services).orElse(List.of()));
             return;
         }
         SchedulerHost host = new SchedulerHost(
-                shared,
+                schedulerContext,
                 duty,
                 fence,
                 followWorkers(),
                 () -> ownership.giveUp(duty, fence, "fenced"),
-                () -> ownership.leaveToOthers(duty, fence, "its records can not be read"));
+                () -> ownership.deferToOthers(duty, fence, "its records cannot be read"));
         hosts.put(duty, host);
         host.start();
     }
 
     @Override
-    public CompletableFuture<Void> handOver(String duty, HandOver why) {
+    public CompletableFuture<Void> handOver(String duty, HandOverReason why) {
         if (duty.equals(FLEET) && fleet != null) {
             return fleet.handOver(why);
         }
@@ -268,7 +271,7 @@
         }
     }
 
-    /** Hands all duties over; callers are served on until {@link #close}. */
+    /** Hands over all duties; callers are served until {@link #close}. */
     public void stop() {
         loop.execute(() -> {
             stopping = true;
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/PrefixWatch.java
@@ -28,20 +28,21 @@
 import org.lupinpaddle.daemon.port.StoreRange;
 
 /**
- * Keeps a copy of all items under a prefix: reads them, then watches. When the store has dropped its history,
- * all is read anew. All calls and callbacks are on the event loop.
+ * Maintains a copy of all items under a prefix: reads them and then watches for changes. If the store no longer has
+ * the required history, everything is read again. All calls and callbacks run on the event loop unless stated
+ * otherwise.
  */
 final class PrefixWatch implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 200;
-    // A watch whose answer is lost is noticed after this and a call's time: sooner than the 3 s of calm after
-    // which the platform holds an entry to its bounds.
-    private static final long WAIT_MILLIS = 1_500;
+    // A lost answer is noticed after this time and the time limit of a call, which is sooner than the 3 s without
+    // faults after which the platform measures an entry against its limits.
+    private static final long WATCH_MILLIS = 1_500;
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final String prefix;
-    private final long pauseMillis;
+    private final long batchMillis;
     private final Listener listener;
     private final Map<String, StoreItem> items = new LinkedHashMap<>();
     private long revision;
@@ -49,19 +50,19 @@
     private boolean reachable = true;
     private boolean closed;
 
-    /** What is told of the items. */
+    /** Receives changes of the items. */
     interface Listener {
-        /** All items have been read; what is not among them is gone. */
+        /** Called when all items have been read; items not among them no longer exist. */
         void onRead();
 
-        /** A page of a read has arrived; others may follow. Any thread may tell. */
+        /** Called on any thread when a page of a read has arrived; more may follow. */
         default void onPage() {}
 
-        /** Some items have changed, or have gone. */
+        /** Called when items were changed or removed. */
         void onChanges(List<StoreChanges.Change> changes);
 
-        /** Returns a listener that does the same whatever happened. */
-        static Listener same(Runnable step) {
+        /** Returns a listener that runs the same action for every read and every change. */
+        static Listener forAnyChange(Runnable step) {
             return new Listener() {
                 @Override
                 public void onRead() {
@@ -80,16 +81,19 @@
         this(store, loop, prefix, 0, listener);
     }
 
-    /** Makes a watch that, after changes, lets more of them gather for a time: each answer has its price. */
-    PrefixWatch(KeyValueStore store, EventLoop loop, String prefix, long pauseMillis, Listener listener) {
+    /**
+     * Creates a watch that waits after each change so that further changes are batched, since every answer has a
+     * cost.
+     */
+    PrefixWatch(KeyValueStore store, EventLoop loop, String prefix, long batchMillis, Listener listener) {
         this.store = store;
         this.loop = loop;
         this.prefix = prefix;
-        this.pauseMillis = pauseMillis;
+        this.batchMillis = batchMillis;
         this.listener = listener;
     }
 
-    /** Reads everything, then watches until closed. */
+    /** Reads all items, then watches until closed. */
     void start() {
         if (closed) {
             return;
@@ -98,18 +102,18 @@
         store.range(prefix, listener::onPage)
                 .whenComplete((r, why) -> loop.execute(() -> {
                     if (why != null) {
-                        failed(why, this::start);
+                        retryAfterFailure(why, this::start);
                     } else {
-                        readAll(r, sentAt);
+                        onRangeRead(r, sentAt);
                     }
                 }));
     }
 
-    private void readAll(StoreRange r, long sentAt) {
+    private void onRangeRead(StoreRange r, long sentAt) {
         if (closed) {
             return;
         }
-        answered(sentAt);
+        onAnswered(sentAt);
         items.clear();
         r.items().forEach(i -> items.put(i.key(), i));
         revision = r.revision();
@@ -122,12 +126,12 @@
             return;
         }
         long sentAt = loop.clock().millis();
-        store.watch(prefix, revision, WAIT_MILLIS)
+        store.watch(prefix, revision, WATCH_MILLIS)
                 .whenComplete((c, why) -> loop.execute(() -> {
                     if (why != null) {
                         watchFailed(why);
                     } else {
-                        changed(c, sentAt);
+                        onWatchAnswered(c, sentAt);
                     }
                 }));
     }
@@ -138,15 +142,15 @@
             Log.info("watch-history-gone", "prefix", prefix, "revision", revision);
             start();
         } else {
-            failed(why, this::start);
+            retryAfterFailure(why, this::start);
         }
     }
 
-    private void changed(StoreChanges c, long sentAt) {
+    private void onWatchAnswered(StoreChanges c, long sentAt) {
         if (closed) {
             return;
         }
-        answered(sentAt);
+        onAnswered(sentAt);
         revision = Math.max(revision, c.revision());
         for (StoreChanges.Change change : c.changes()) {
             if (change.item() == null) {
@@ -160,14 +164,14 @@
             return;
         }
         listener.onChanges(c.changes());
-        if (pauseMillis == 0) {
+        if (batchMillis == 0) {
             watch();
         } else {
-            loop.after(pauseMillis, this::watch);
+            loop.after(batchMillis, this::watch);
         }
     }
 
-    private void answered(long sentAt) {
+    private void onAnswered(long sentAt) {
         confirmedAt = sentAt;
         if (!reachable) {
             reachable = true;
@@ -175,7 +179,7 @@
         }
     }
 
-    private void failed(Throwable why, Runnable again) {
+    private void retryAfterFailure(Throwable why, Runnable retry) {
         if (closed) {
             return;
         }
@@ -183,7 +187,7 @@
             reachable = false;
             Log.warn("watch-lost", "prefix", prefix, "why", StoreFailure.text(why));
         }
-        loop.after(RETRY_MILLIS, again);
+        loop.after(RETRY_MILLIS, retry);
     }
 
     /** Returns the items as last seen. */
@@ -191,12 +195,12 @@
         return items.values();
     }
 
-    /** Returns the store's revision up to which the items are known. */
+    /** Returns the store revision up to which the items are known. */
     long revision() {
         return revision;
     }
 
-    /** Returns since when the items may be out of date: when the newest call that was answered was sent. */
+    /** Returns the time since which the items may be out of date: when the latest answered call was sent. */
     long confirmedAt() {
         return confirmedAt;
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaKeeper.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/jobs/QuotaManager.java
@@ -23,7 +23,7 @@
 import java.util.function.Supplier;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.workspace.QuotaAllocation;
 import org.lupinpaddle.core.workspace.QuotaTable;
 import org.lupinpaddle.core.workspace.WorkspaceQuota;
@@ -41,20 +41,20 @@
  * computes. Each write is conditional on the ownership of the service and on the last observed revisions of the allocations.
  * Does not access the store while no workspace has a quota.
  */
-final class QuotaKeeper implements AutoCloseable {
+final class QuotaManager implements AutoCloseable {
 
     private static final long RETRY_MILLIS = 150;
     private static final long WATCH_BATCH_MILLIS = 40;
     // A commit has at most 32 rows: ownership, configuration, and a condition and a value for each allocation.
-    private static final int MOST_PER_COMMIT = 15;
+    private static final int MAX_PER_COMMIT = 15;
 
     private final KeyValueStore store;
     private final EventLoop loop;
     private final String ownerKey;
     private final long fence;
-    private final Supplier<WorkspacesInForce> workspaces;
+    private final Supplier<ActiveWorkspaces> workspaces;
     private final UnreadableEntries unreadable;
-    private final JobMeters meters;
+    private final JobMetrics meters;
     private final Runnable onChange;
     private final PrefixWatch watch;
     private final QuotaTable table;
@@ -67,11 +67,11 @@
     /** Workspaces whose last written request exceeds the grant. */
     private final Set<String> unmetRequests = new HashSet<>();
 
-    /** Makes the keeper; {@code onChange} is called when allocations may have changed. */
-    QuotaKeeper(SchedulerHost.Entry entry, String service, long fence, Runnable onChange) {
+    /** Creates the manager; {@code onChange} is called when allocations may have changed. */
+    QuotaManager(SchedulerHost.Context entry, String service, long fence, Runnable onChange) {
         this.store = entry.store();
         this.loop = entry.loop();
-        this.ownerKey = JobKeys.owner(service);
+        this.ownerKey = SchedulerKeys.owner(service);
         this.fence = fence;
         this.workspaces = entry.workspaces();
         this.unreadable = entry.unreadable();
@@ -81,9 +81,9 @@
         watch = new PrefixWatch(
                 store,
                 loop,
-                JobKeys.quotas(),
+                SchedulerKeys.quotas(),
                 WATCH_BATCH_MILLIS,
-                PrefixWatch.Listener.same(this::onAllocationsChanged));
+                PrefixWatch.Listener.forAnyChange(this::onAllocationsChanged));
         configure();
     }
 
@@ -92,7 +92,7 @@
     }
 
     private void configure() {
-        WorkspacesInForce current = workspaces.get();
+        ActiveWorkspaces current = workspaces.get();
         if (!current.workspaces().equals(configured)) {
             configured = current.workspaces();
             table.configure(current.workspaces());
@@ -109,7 +109,7 @@
             return;
         }
         allocationsRead = true;
-        unreadable.onlyThese(JobKeys.quotas(), watch.items());
+        unreadable.retainOnly(SchedulerKeys.quotas(), watch.items());
         applyStored();
         onChange.run();
     }
@@ -119,7 +119,7 @@
         Map<String, StoreItem> items = new HashMap<>();
         watch.items().forEach(i -> items.put(i.key(), i));
         table.forEachLimited((name, q) -> {
-            StoreItem item = items.get(JobKeys.quota(name));
+            StoreItem item = items.get(SchedulerKeys.quota(name));
             if (item == null) {
                 q.onNoAllocation(watch.revision());
             } else {
@@ -129,7 +129,7 @@
     }
 
     private void applyStored(WorkspaceQuota q, StoreItem item) {
-        QuotaAllocation a = unreadable.taken(Kind.QUOTA, item, item.read(QuotaAllocation.class));
+        QuotaAllocation a = unreadable.recordOrNull(Kind.QUOTA, item, item.read(QuotaAllocation.class));
         if (a == null) {
             q.onUnreadable();
         } else {
@@ -149,7 +149,7 @@
         }
         Map<String, QuotaAllocation> due = new LinkedHashMap<>();
         table.forEachLimited((name, q) -> {
-            if (due.size() < MOST_PER_COMMIT) {
+            if (due.size() < MAX_PER_COMMIT) {
                 q.next(loop.clock().millis()).ifPresent(a -> due.put(name, a));
             }
         });
@@ -159,20 +159,21 @@
     }
 
     private void write(Map<String, QuotaAllocation> due) {
-        WorkspacesInForce current = workspaces.get();
-        // No grant is raised by a maximum that a newer configuration may have lowered.
+        ActiveWorkspaces current = workspaces.get();
+        // Requires the known configuration, so that no grant is raised under a maximum that a newer configuration may
+        // have lowered.
         StoreCommit.Builder b = StoreCommit.builder().when(ownerKey, fence).when(current.key(), current.revision());
         due.forEach((name, a) -> {
             WorkspaceQuota q = table.of(name);
-            b.when(JobKeys.quota(name), q.revision());
-            b.put(JobKeys.quota(name), RecordCodec.write(a));
+            b.when(SchedulerKeys.quota(name), q.revision());
+            b.put(SchedulerKeys.quota(name), RecordCodec.write(a));
             q.onWriteStarted(a);
         });
         writing = true;
         store.commit(b.build()).thenAcceptAsync(r -> onWritten(due, r, current), loop::execute);
     }
 
-    private void onWritten(Map<String, QuotaAllocation> due, CommitResult r, WorkspacesInForce current) {
+    private void onWritten(Map<String, QuotaAllocation> due, CommitResult r, ActiveWorkspaces current) {
         writing = false;
         meters.quotaWritten(r.outcome());
         switch (r.outcome()) {
@@ -185,7 +186,7 @@
                 retryAt = retryAfterConflict(r, current);
                 r.current()
                         .forEach(i -> due.keySet().stream()
-                                .filter(name -> JobKeys.quota(name).equals(i.key()))
+                                .filter(name -> SchedulerKeys.quota(name).equals(i.key()))
                                 .forEach(name -> applyStored(table.of(name), i)));
             }
             case LEASE_ENDED, REFUSED, UNKNOWN, REJECTED ->
@@ -196,8 +197,11 @@
         }
     }
 
-    /** Without the ownership no write can succeed any more; a newer configuration is known here soon. */
-    private long retryAfterConflict(CommitResult r, WorkspacesInForce current) {
+    /**
+     * Returns when to retry: never without the ownership, or shortly if a newer configuration exists, which this
+     * entry soon learns of.
+     */
+    private long retryAfterConflict(CommitResult r, ActiveWorkspaces current) {
         if (r.revisionOf(ownerKey) != fence) {
             return Long.MAX_VALUE;
         }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Membership.java
@@ -26,17 +26,16 @@
 import org.lupinpaddle.core.view.StoredRecord;
 
 /**
- * Who the other entries are and which of them can be reached now. Names and addresses come from the store
- * and from the entries' own greetings; whether one is reachable comes from its heartbeats alone, so it is
- * true also while the store is away or slow.
+ * Tracks the other entries and which of them are reachable. Names and addresses come from the store and from the entries'
+ * hello messages. Reachability depends only on heartbeats, so that it is correct even if the store is down or slow.
  */
 public final class Membership {
 
-    // An entry that is neither registered nor heard for this long is forgotten.
-    private static final long FORGET_MILLIS = 60_000;
-    // Heartbeats between regions are rarer, to stay within the bytes a node may spend on control.
-    private static final int FAR_HEARTBEAT_FACTOR = 5;
-    private static final double MISSED_HEARTBEATS = 2.5;
+    // An unregistered entry without a heartbeat for this long is removed.
+    private static final long FORGET_AFTER_MILLIS = 60_000;
+    // Heartbeats between regions are less frequent, to stay within an entry's byte budget for control traffic.
+    private static final int INTER_REGION_HEARTBEAT_FACTOR = 5;
+    private static final double MAX_MISSED_HEARTBEATS = 2.5;
 
     private final String selfId;
     private final String region;
@@ -44,7 +43,7 @@
     private final Clock clock;
     private final Map<String, PeerState> peers = new TreeMap<>();
 
-    /** Makes the membership as seen by entry {@code selfId} of a region. */
+    /** Creates the membership as seen by entry {@code selfId} of a region. */
     public Membership(String selfId, String region, long heartbeatMillis, Clock clock) {
         this.selfId = selfId;
         this.region = region;
@@ -52,85 +51,87 @@
         this.clock = clock;
     }
 
-    /** Takes the registrations as read from the store. */
+    /** Updates the peers with the registrations read from the store. */
     public void onRegistrations(List<StoredRecord> records) {
         Set<String> registered = new HashSet<>();
-        for (StoredRecord r : records) {
-            RecordCodec.read(r.value(), EntryRecord.class).forEach(e -> {
-                if (!e.id().equals(selfId)) {
-                    registered.add(e.id());
-                    know(e.id(), e.hall(), e.region(), e.peerAddress());
+        for (StoredRecord record : records) {
+            RecordCodec.read(record.value(), EntryRecord.class).forEach(entry -> {
+                if (!entry.id().equals(selfId)) {
+                    registered.add(entry.id());
+                    addOrReplace(entry.id(), entry.hall(), entry.region(), entry.peerAddress());
                 }
             });
         }
-        peers.replaceAll((id, p) -> p.withRegistered(registered.contains(id)));
+        peers.replaceAll((id, peer) -> peer.withRegistered(registered.contains(id)));
         long now = clock.millis();
-        peers.values().removeIf(p -> !p.registered() && now - p.lastHeard() > FORGET_MILLIS);
+        peers.values().removeIf(peer -> !peer.registered() && now - peer.lastContact() > FORGET_AFTER_MILLIS);
     }
 
-    /** Takes an entry's greeting. */
-    public void onHello(String id, String hall, String itsRegion, String address) {
+    /** Handles the hello message of an entry. */
+    public void onHello(String id, String hall, String peerRegion, String address) {
         if (!id.equals(selfId)) {
-            know(id, hall, itsRegion, address);
-            // A greeting counts as heard: an entry that is not registered yet must not be forgotten before
-            // its first heartbeat, since it greets only once.
+            addOrReplace(id, hall, peerRegion, address);
+            // A hello counts as a heartbeat: an entry that is not registered yet must not be removed before its first
+            // heartbeat, because it sends the hello only once.
             long now = clock.millis();
-            peers.computeIfPresent(id, (k, p) -> p.heard(now, 0, p.serving(), p.platformOk(), p.leaving()));
+            peers.computeIfPresent(
+                    id,
+                    (ignored, peer) -> peer.withHeartbeat(now, 0, peer.serving(), peer.platformOk(), peer.leaving()));
         }
     }
 
-    private void know(String id, String hall, String itsRegion, String address) {
-        PeerState old = peers.get(id);
-        if (old == null || !old.address().equals(address)) {
-            boolean registered = old != null && old.registered();
-            peers.put(id, PeerState.unheard(id, hall, itsRegion, address).withRegistered(registered));
+    private void addOrReplace(String id, String hall, String peerRegion, String address) {
+        PeerState previous = peers.get(id);
+        if (previous == null || !previous.address().equals(address)) {
+            boolean registered = previous != null && previous.registered();
+            peers.put(id, PeerState.initial(id, hall, peerRegion, address).withRegistered(registered));
         }
     }
 
-    /** Takes an entry's heartbeat. */
+    /** Handles the heartbeat of an entry. */
     public void onHeartbeat(String id, long revision, boolean serving, boolean platformOk, Map<String, Long> leaving) {
         long now = clock.millis();
-        peers.computeIfPresent(id, (k, p) -> p.heard(now, revision, serving, platformOk, leaving));
+        peers.computeIfPresent(id, (ignored, peer) -> peer.withHeartbeat(now, revision, serving, platformOk, leaving));
     }
 
-    /** Notes that an entry's connection has broken off. */
-    public void onGone(String id) {
-        peers.computeIfPresent(id, (k, p) -> p.gone());
+    /** Marks an entry as unreachable because its connection was lost. */
+    public void onDisconnected(String id) {
+        peers.computeIfPresent(id, (ignored, peer) -> peer.disconnected());
     }
 
-    /** Returns all entries known but this one. */
+    /** Returns all known entries except this one. */
     public Collection<PeerState> peers() {
         return List.copyOf(peers.values());
     }
 
-    /** Returns the entries that were heard lately. */
+    /** Returns the entries with a recent heartbeat. */
     public List<PeerState> reachable() {
         return peers.values().stream().filter(this::isReachable).toList();
     }
 
-    /** Returns whether an entry was heard lately. */
-    public boolean isReachable(PeerState p) {
-        return clock.millis() - p.lastHeard() <= heartbeatMillis(p) * MISSED_HEARTBEATS;
+    /** Returns whether the last heartbeat of an entry is recent. */
+    public boolean isReachable(PeerState peer) {
+        return clock.millis() - peer.lastContact() <= heartbeatMillis(peer) * MAX_MISSED_HEARTBEATS;
     }
 
-    /** Returns the time between two heartbeats to an entry, in milliseconds. */
-    public long heartbeatMillis(PeerState p) {
-        return p.region().equals(region) ? heartbeatMillis : heartbeatMillis * FAR_HEARTBEAT_FACTOR;
+    /** Returns the interval of the heartbeats to and from an entry, in milliseconds. */
+    public long heartbeatMillis(PeerState peer) {
+        return peer.region().equals(region) ? heartbeatMillis : heartbeatMillis * INTER_REGION_HEARTBEAT_FACTOR;
     }
 
-    /** Returns whether a data hall belongs to this region, as far as any entry of the hall has said. */
+    /** Returns whether a data hall belongs to this region; true if no entry of the hall is known. */
     public boolean mayBeInRegion(String hall) {
         return peers.values().stream()
-                .filter(p -> p.hall().equals(hall))
+                .filter(peer -> peer.hall().equals(hall))
                 .findFirst()
-                .map(p -> p.region().equals(region))
+                .map(peer -> peer.region().equals(region))
                 .orElse(true);
     }
 
-    /** Returns the entries of this region that are reachable and serve callers. */
+    /** Returns the ids of the reachable entries of this region that serve callers. */
     public List<String> servingInRegion() {
         return reachable().stream()
-                .filter(p -> p.serving() && p.region().equals(region))
+                .filter(peer -> peer.serving() && peer.region().equals(region))
                 .map(PeerState::id)
                 .toList();
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/PeerState.java
@@ -18,18 +18,18 @@
 import java.util.Map;
 
 /**
- * What is known of another entry.
+ * The known state of another entry.
  *
  * @param id its name
  * @param hall its data hall
  * @param region its region
  * @param address its peer address
- * @param registered whether its registration stands in the store, as last read
- * @param lastHeard when it was last heard, in milliseconds of this entry's clock; far past where never
- * @param revision the newest record of the configuration that is in force on it
+ * @param registered whether the store contained its registration when last read
+ * @param lastContact the time of its last hello or heartbeat, in milliseconds of this entry's clock
+ * @param revision the revision of the newest configuration record in force on it
  * @param serving whether it serves callers
- * @param platformOk whether it hears from the platform
- * @param leaving incarnations of instances that the platform's list says are leaving, as it knows them
+ * @param platformOk whether it can reach the platform
+ * @param leaving the incarnations of the instances that the platform lists as leaving, as known to it
  */
 public record PeerState(
         String id,
@@ -37,32 +37,43 @@
         String region,
         String address,
         boolean registered,
-        long lastHeard,
+        long lastContact,
         long revision,
         boolean serving,
         boolean platformOk,
         Map<String, Long> leaving) {
 
-    private static final long FAR_PAST = Long.MIN_VALUE / 2;
+    private static final long NEVER = Long.MIN_VALUE / 2;
 
-    /** Returns the state of an entry that was not heard yet. */
-    public static PeerState unheard(String id, String hall, String region, String address) {
-        return new PeerState(id, hall, region, address, false, FAR_PAST, 0, false, false, Map.of());
+    /** Returns the state of an entry without any heartbeat yet. */
+    public static PeerState initial(String id, String hall, String region, String address) {
+        return new PeerState(id, hall, region, address, false, NEVER, 0, false, false, Map.of());
     }
 
-    /** Returns this state with the store's word on the registration. */
-    public PeerState withRegistered(boolean is) {
-        return new PeerState(id, hall, region, address, is, lastHeard, revision, serving, platformOk, leaving);
+    /** Returns this state with an updated registration. */
+    public PeerState withRegistered(boolean newRegistered) {
+        return new PeerState(
+                id, hall, region, address, newRegistered, lastContact, revision, serving, platformOk, leaving);
     }
 
-    /** Returns this state with what a heartbeat said. */
-    public PeerState heard(long now, long newRevision, boolean serves, boolean platform, Map<String, Long> list) {
+    /** Returns this state updated by a heartbeat; the revision never decreases. */
+    public PeerState withHeartbeat(
+            long now, long newRevision, boolean newServing, boolean newPlatformOk, Map<String, Long> newLeaving) {
         return new PeerState(
-                id, hall, region, address, registered, now, Math.max(revision, newRevision), serves, platform, list);
+                id,
+                hall,
+                region,
+                address,
+                registered,
+                now,
+                Math.max(revision, newRevision),
+                newServing,
+                newPlatformOk,
+                newLeaving);
     }
 
-    /** Returns this state as gone, until it is heard again. */
-    public PeerState gone() {
-        return new PeerState(id, hall, region, address, registered, FAR_PAST, revision, false, false, leaving);
+    /** Returns this state as unreachable until the next heartbeat. */
+    public PeerState disconnected() {
+        return new PeerState(id, hall, region, address, registered, NEVER, revision, false, false, leaving);
     }
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/membership/Registration.java
@@ -25,14 +25,14 @@
 import org.lupinpaddle.daemon.platform.WriteResult;
 
 /**
- * Keeps this entry registered in the store under a lease: makes the lease, writes the record with it, keeps
- * it alive, and starts anew when the lease was lost. While the platform is away the entry goes on serving
- * unregistered. Attempts are spread by the entry's own phase, so entries do not come back in step.
+ * Keeps this entry registered in the store: acquires a lease, writes the record with it, renews the lease and starts again
+ * if it is lost. While the platform is down, the entry keeps serving without a registration. Retries follow each entry's own
+ * timing, so that the entries do not reconnect all at the same moment.
  */
 public final class Registration {
 
     private static final long RETRY_MILLIS = 1_500;
-    private static final int KEEP_ALIVES_PER_LEASE = 3;
+    private static final int KEEP_ALIVES_PER_TTL = 3;
 
     private final Platform platform;
     private final StoreWriter writer;
@@ -44,7 +44,7 @@
     private boolean stopped;
     private long confirmedAt = Long.MIN_VALUE;
 
-    /** Makes the registration of {@code self} with a lease of {@code ttlSeconds}. */
+    /** Creates the registration of {@code self} with a lease of {@code ttlSeconds}. */
     public Registration(Platform platform, StoreWriter writer, EventLoop loop, EntryRecord self, long ttlSeconds) {
         this.platform = platform;
         this.writer = writer;
@@ -53,18 +53,18 @@
         this.ttlSeconds = ttlSeconds;
     }
 
-    /** Starts registering; call on the loop. */
+    /** Starts the registration; must be called on the event loop. */
     public void start() {
-        makeLease();
+        requestLease();
     }
 
-    /** Returns the lease that goes with this entry's life, or 0 while there is none that is known to live. */
-    public long liveLease() {
+    /** Returns the lease of this entry, or 0 if none is known to be valid. */
+    public long validLease() {
         boolean fresh = loop.clock().millis() - confirmedAt < ttlSeconds * 1_000;
         return registered && fresh ? lease : 0;
     }
 
-    /** Ends the registration, so that others need not wait for the lease to lapse. */
+    /** Revokes the lease, so that others need not wait for it to expire. */
     public void stop() {
         stopped = true;
         registered = false;
@@ -73,48 +73,48 @@
         }
     }
 
-    private void makeLease() {
+    private void requestLease() {
         if (stopped) {
             return;
         }
         registered = false;
         lease = 0;
-        long asked = loop.clock().millis();
+        long requestedAt = loop.clock().millis();
         var unused = platform.grantLease(ttlSeconds)
                 .whenComplete((id, failure) -> loop.execute(() -> {
                     if (failure != null) {
-                        loop.after(RETRY_MILLIS, this::makeLease);
+                        loop.after(RETRY_MILLIS, this::requestLease);
                     } else {
                         lease = id;
-                        confirmedAt = asked;
-                        findOld();
+                        confirmedAt = requestedAt;
+                        findPreviousRecord();
                     }
                 }));
     }
 
-    // A process of the same name that was killed may have left its record until its lease lapses.
-    private void findOld() {
+    // A killed process with the same name may have left its record, which stays until its lease expires.
+    private void findPreviousRecord() {
         String key = StoreKeys.entry(self.id());
         var unused = platform.range(key, 0)
-                .whenComplete((r, failure) -> loop.execute(() -> {
+                .whenComplete((range, failure) -> loop.execute(() -> {
                     if (failure != null) {
-                        loop.after(RETRY_MILLIS, this::makeLease);
+                        loop.after(RETRY_MILLIS, this::requestLease);
                         return;
                     }
-                    long old = r.records().stream()
-                            .filter(x -> x.key().equals(key))
-                            .mapToLong(x -> x.revision())
+                    long previousRevision = range.records().stream()
+                            .filter(record -> record.key().equals(key))
+                            .mapToLong(record -> record.revision())
                             .findFirst()
                             .orElse(0);
-                    write(key, old);
+                    write(key, previousRevision);
                 }));
     }
 
-    private void write(String key, long expected) {
-        Swap swap = new Swap(key, RecordCodec.write(self), expected, lease);
+    private void write(String key, long expectedRevision) {
+        Swap swap = new Swap(key, RecordCodec.write(self), expectedRevision, lease);
         writer.write(swap, self.writeId(), result -> {
             if (result.fate() != WriteResult.Fate.ACCEPTED) {
-                loop.after(RETRY_MILLIS, this::makeLease);
+                loop.after(RETRY_MILLIS, this::requestLease);
                 return;
             }
             registered = true;
@@ -124,24 +124,24 @@
     }
 
     private long keepAliveMillis() {
-        return ttlSeconds * 1_000 / KEEP_ALIVES_PER_LEASE;
+        return ttlSeconds * 1_000 / KEEP_ALIVES_PER_TTL;
     }
 
     private void keepAlive() {
         if (stopped) {
             return;
         }
-        long asked = loop.clock().millis();
+        long requestedAt = loop.clock().millis();
         var unused = platform.keepAlive(lease)
                 .whenComplete((alive, failure) -> loop.execute(() -> {
                     if (failure != null) {
                         loop.after(RETRY_MILLIS, this::keepAlive);
                     } else if (alive) {
-                        confirmedAt = asked;
+                        confirmedAt = requestedAt;
                         loop.after(keepAliveMillis(), this::keepAlive);
                     } else {
                         Log.warn("lease-lost", "entry", self.id(), "lease", lease);
-                        makeLease();
+                        requestLease();
                     }
                 }));
     }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/port/PageReader.java
@@ -22,14 +22,14 @@
 import org.lupinpaddle.daemon.common.Log;
 
 /**
- * Reads a prefix page by page. What has been read is kept: a page whose answer was lost is asked for again by itself, so
- * that a long read over a poor connection comes to an end.
+ * Reads the items under a prefix page by page. Pages already read are kept: if the answer to a page is lost, only
+ * that page is requested again, so a long read completes even over a poor connection.
  */
 final class PageReader {
 
-    // A page is bounded by the time in which nothing of it arrives, so the next try is not likelier to fail; three lost
-    // in a row speak against the store or the link.
-    private static final int MOST_TRIES = 3;
+    // A page times out only when no data arrives, so a repeated request is not more likely to fail. Three failures in
+    // a row indicate a fault of the store or the link.
+    private static final int MAX_ATTEMPTS = 3;
 
     private final KeyValueStore store;
     private final String prefix;
@@ -43,7 +43,7 @@
         this.onPage = onPage;
     }
 
-    /** Reads all pages; the future ends exceptionally when one of them can not be had. */
+    /** Reads all pages; the future completes exceptionally if a page cannot be read. */
     CompletableFuture<StoreRange> read() {
         return page(1);
     }
@@ -51,13 +51,13 @@
     private CompletableFuture<StoreRange> page(int attempt) {
         String after = items.isEmpty() ? "" : items.get(items.size() - 1).key();
         return store.page(prefix, after)
-                .handle((p, why) -> why == null ? taken(p) : failed(why, attempt))
+                .handle((p, why) -> why == null ? onPageRead(p) : onFailure(why, attempt))
                 .thenCompose(next -> next);
     }
 
-    private CompletableFuture<StoreRange> taken(StorePage p) {
+    private CompletableFuture<StoreRange> onPageRead(StorePage p) {
         onPage.run();
-        // A watch from the first page's revision shows what has changed on any page since.
+        // A watch from the first page's revision reports every change made since to any page.
         revision = items.isEmpty() ? p.revision() : revision;
         items.addAll(p.items());
         return p.more() && !p.items().isEmpty()
@@ -65,12 +65,13 @@
                 : CompletableFuture.completedFuture(new StoreRange(items, revision));
     }
 
-    private CompletableFuture<StoreRange> failed(Throwable why, int attempt) {
+    private CompletableFuture<StoreRange> onFailure(Throwable why, int attempt) {
         Throwable cause = why instanceof CompletionException && why.getCause() != null ? why.getCause() : why;
-        // A refusal says that the store is busy or the rate used up for a moment: nothing that was read is wrong.
-        boolean lost = cause instanceof StoreException e && e.kind() != StoreException.Kind.HISTORY_GONE;
-        // Before the first page there is nothing to keep: whoever reads decides when to begin again.
-        if (items.isEmpty() || !lost || attempt >= MOST_TRIES) {
+        // A refusal means that the store is busy or its rate limit is exceeded for a moment; the pages already read
+        // remain valid.
+        boolean retryable = cause instanceof StoreException e && e.kind() != StoreException.Kind.HISTORY_GONE;
+        // Before the first page there is nothing to keep; the caller decides when to start again.
+        if (items.isEmpty() || !retryable || attempt >= MAX_ATTEMPTS) {
             return CompletableFuture.failedFuture(cause);
         }
         Log.info("page-asked-again", "prefix", prefix, "items", items.size(), "attempt", attempt, "why", cause);
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotHost.java
@@ -30,7 +30,7 @@
 import java.util.function.Function;
 import org.lupinpaddle.core.common.Clock;
 import org.lupinpaddle.core.request.AttemptOutcome;
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 import org.lupinpaddle.core.slot.SlotMessage;
 import org.lupinpaddle.core.slot.SlotMessage.Grant;
 import org.lupinpaddle.core.slot.SlotMessage.Outgoing;
@@ -39,71 +39,71 @@
 import org.lupinpaddle.daemon.peer.proto.Frame;
 
 /**
- * Carries the slots' decisions: this entry's desk, and the owners of those services whose slots this entry
- * is asked for. Messages to this entry itself take the same way as those to others, without the wire.
+ * Runs the slot logic of an entry: its desk, which asks for slots, and the owners of the services whose slots this entry
+ * grants. Messages to this entry itself are handled like those to other entries, but without being encoded.
  */
 public final class SlotHost {
 
     private final String self;
-    private final int queuePlaces;
+    private final int queueCapacity;
     private final Clock clock;
     private final MetricRegistry metrics;
-    private final Function<String, List<WorkerInfo>> workersOf;
+    private final Function<String, List<WorkerInfo>> workersByService;
     private final BiConsumer<String, Frame> sender;
-    private final SlotDesk desk;
+    private final SlotClient desk;
     private final SplittableRandom random = new SplittableRandom();
     private final Map<String, SlotOwner> owners = new TreeMap<>();
-    private final Map<Long, SlotReplies> waiting = new HashMap<>();
+    private final Map<Long, SlotReplyListener> pendingAsks = new HashMap<>();
     private final Deque<Outgoing> outbox = new ArrayDeque<>();
     private Set<String> reachable = Set.of();
     private boolean delivering;
 
     /**
-     * Makes the host of an entry.
+     * Creates the host of an entry.
      *
-     * @param workersOf gives the workers of a service as now known
+     * @param workersByService returns the currently known workers of a service
      * @param sender sends a frame to another entry
      */
     public SlotHost(
             String self,
             String hall,
-            int queuePlaces,
+            int queueCapacity,
             Clock clock,
             MetricRegistry metrics,
-            Function<String, List<WorkerInfo>> workersOf,
+            Function<String, List<WorkerInfo>> workersByService,
             BiConsumer<String, Frame> sender) {
         this.self = self;
-        this.queuePlaces = queuePlaces;
+        this.queueCapacity = queueCapacity;
         this.clock = clock;
         this.metrics = metrics;
-        this.workersOf = workersOf;
+        this.workersByService = workersByService;
         this.sender = sender;
-        this.desk = new SlotDesk(self, hall);
+        this.desk = new SlotClient(self, hall);
     }
 
-    /** Asks for a slot and returns the ask's number; the reply comes later, or at once from within. */
-    public long ask(SlotDesk.Need need, SlotReplies replies) {
+    /** Asks for a slot and returns the number of the ask; the listener may be called before this method returns. */
+    public long ask(SlotClient.SlotRequest need, SlotReplyListener listener) {
         List<Outgoing> out = new ArrayList<>();
         long ask = desk.ask(need, clock.millis(), out);
-        waiting.put(ask, replies);
+        pendingAsks.put(ask, listener);
         deliver(out);
         return ask;
     }
 
-    /** Takes an ask back; its reply does not come any more. */
+    /** Cancels an ask; its listener is not called any more. */
     public void cancel(long ask) {
-        waiting.remove(ask);
+        pendingAsks.remove(ask);
         deliver(desk.cancel(ask));
     }
 
-    /** Gives a grant back. */
+    /** Releases a granted slot and reports the outcome of the attempt that used it. */
     public void release(String service, Grant grant, AttemptOutcome outcome) {
         metrics.counter("attempts." + outcome.name().toLowerCase(java.util.Locale.ROOT))
                 .inc();
         deliver(desk.release(service, grant, outcome, clock.millis()));
     }
 
-    /** Takes a frame of another entry; returns whether it was about slots. */
+    /** Handles a frame from another entry; returns false if it is not a slot message. */
     public boolean onFrame(String from, Frame frame) {
         SlotMessage message = SlotFrames.decode(frame);
         if (message == null) {
@@ -113,45 +113,45 @@
         return true;
     }
 
-    /** Takes the entries of the region that are reachable and serve. */
+    /** Updates the set of entries in the region that are reachable and serving. */
     public void onReachable(Set<String> entries) {
         long now = clock.millis();
-        Set<String> lost = new HashSet<>(reachable);
-        lost.removeAll(entries);
+        Set<String> unreachable = new HashSet<>(reachable);
+        unreachable.removeAll(entries);
         reachable = Set.copyOf(entries);
-        for (String gone : lost) {
-            owners.values().forEach(o -> deliver(o.onEntryGone(gone, now)));
+        for (String entry : unreachable) {
+            owners.values().forEach(owner -> deliver(owner.onEntryGone(entry, now)));
         }
         deliver(desk.onReachable(entries, now));
     }
 
-    /** Tells the owners of the workers as now known. */
+    /** Passes the currently known workers to the owners. */
     public void onWorkersChanged() {
         long now = clock.millis();
-        owners.forEach((service, o) -> deliver(o.onWorkers(workersOf.apply(service), now)));
+        owners.forEach((service, owner) -> deliver(owner.onWorkers(workersByService.apply(service), now)));
     }
 
-    /** Lets time pass. */
+    /** Runs the time-dependent steps of the desk and the owners. */
     public void onTick() {
         long now = clock.millis();
         deliver(desk.onTick(now));
-        owners.values().forEach(o -> deliver(o.onTick(now)));
+        owners.values().forEach(owner -> deliver(owner.onTick(now)));
     }
 
-    /** Returns the workers that this entry has ejected as owner, by service. */
+    /** Returns the workers that the owners on this entry have ejected, by service. */
     public Map<String, List<String>> ejected() {
         Map<String, List<String>> all = new TreeMap<>();
-        owners.forEach((service, o) -> all.put(service, o.ejected()));
+        owners.forEach((service, owner) -> all.put(service, owner.ejected()));
         all.values().removeIf(List::isEmpty);
         return all;
     }
 
-    /** Returns how many asks wait in the queues that this entry owns. */
+    /** Returns the number of asks in the queues of the owners on this entry. */
     public int queueLength() {
         return owners.values().stream().mapToInt(SlotOwner::queueLength).sum();
     }
 
-    /** Returns how many grants are out of the owners on this entry. */
+    /** Returns the number of grants in use that the owners on this entry have given. */
     public int grantsInUse() {
         return owners.values().stream().mapToInt(SlotOwner::grantsInUse).sum();
     }
@@ -167,30 +167,30 @@
         } else if (message instanceof SlotMessage.InUse m) {
             deliver(owner(m.service()).onInUse(from, m, now));
         } else {
-            List<SlotDesk.Reply> replies = new ArrayList<>();
+            List<SlotClient.Reply> replies = new ArrayList<>();
             deliver(desk.onMessage(from, message, replies));
             replies.forEach(this::reply);
         }
     }
 
-    private void reply(SlotDesk.Reply reply) {
-        SlotReplies r = waiting.remove(reply.ask());
-        if (r != null) {
-            r.onReply(reply);
-        } else if (reply instanceof SlotDesk.Reply.Slot) {
-            throw new IllegalStateException("a slot for an ask that nobody waits for: " + reply.ask());
+    private void reply(SlotClient.Reply reply) {
+        SlotReplyListener listener = pendingAsks.remove(reply.ask());
+        if (listener != null) {
+            listener.onReply(reply);
+        } else if (reply instanceof SlotClient.Reply.Slot) {
+            throw new IllegalStateException("slot granted for an unknown ask: " + reply.ask());
         }
     }
 
     private SlotOwner owner(String service) {
         return owners.computeIfAbsent(service, s -> {
-            SlotOwner o = new SlotOwner(s, queuePlaces, random);
-            o.onWorkers(workersOf.apply(s), clock.millis());
-            return o;
+            SlotOwner owner = new SlotOwner(s, queueCapacity, random);
+            owner.onWorkers(workersByService.apply(s), clock.millis());
+            return owner;
         });
     }
 
-    // Messages to this entry itself may cause more of them: they are taken in turn, not nested.
+    // Handling a message to this entry itself may produce further messages; the queue avoids nested handling.
     private void deliver(List<Outgoing> messages) {
         outbox.addAll(messages);
         if (delivering) {
@@ -198,11 +198,11 @@
         }
         delivering = true;
         try {
-            for (Outgoing o = outbox.poll(); o != null; o = outbox.poll()) {
-                if (o.to().equals(self)) {
-                    handle(self, o.message());
+            for (Outgoing outgoing = outbox.poll(); outgoing != null; outgoing = outbox.poll()) {
+                if (outgoing.to().equals(self)) {
+                    handle(self, outgoing.message());
                 } else {
-                    sender.accept(o.to(), SlotFrames.encode(o.message()));
+                    sender.accept(outgoing.to(), SlotFrames.encode(outgoing.message()));
                 }
             }
         } finally {
--- a/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplies.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/slot/SlotReplyListener.java
@@ -15,12 +15,12 @@
  */
 package org.lupinpaddle.daemon.slot;
 
-import org.lupinpaddle.core.slot.SlotDesk;
+import org.lupinpaddle.core.slot.SlotClient;
 
-/** Takes the reply to an ask for a slot; called once on the event loop. */
+/** Receives the reply to an ask for a slot; called at most once, on the event loop. */
 @FunctionalInterface
-public interface SlotReplies {
+public interface SlotReplyListener {
 
-    /** Takes the reply. */
-    void onReply(SlotDesk.Reply reply);
+    /** Called with the granted slot or the refusal. */
+    void onReply(SlotClient.Reply reply);
 }
--- a/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverSight.java
+++ b/daemon/src/main/java/org/lupinpaddle/daemon/wave/DriverObservation.java
@@ -18,26 +18,27 @@
 import java.util.Map;
 import java.util.OptionalLong;
 import java.util.Set;
-import org.lupinpaddle.core.wave.FleetSight;
-import org.lupinpaddle.core.wave.Sight;
+import org.lupinpaddle.core.wave.FleetStatus;
+import org.lupinpaddle.core.wave.WorkerStatus;
 
 /**
- * The fleet as one driver sees it at one look.
+ * The state of the fleet as observed by a driver in one polling step.
  *
- * @param probe what workers last said
- * @param confirmed when all entries had confirmed which revision
- * @param undrained when the platform accepted which undrain
- * @param returnMillis how long a reboot may take
+ * @param probe the last probe results of the workers
+ * @param confirmedRevisions when all entries had confirmed each revision
+ * @param undrainTimes when the platform accepted each undrain call
+ * @param maxRebootMillis the time after which a reboot is overdue
  */
-record DriverSight(WorkerProbe probe, ConfirmedRevisions confirmed, Map<Undrain, Long> undrained, long returnMillis)
-        implements FleetSight {
+record DriverObservation(
+        WorkerProbe probe, ConfirmedRevisions confirmedRevisions, Map<Undrain, Long> undrainTimes, long maxRebootMillis)
+        implements FleetStatus {
 
-    /** An undrain under a fence. */
+    /** An undrain call with its fencing token. */
     record Undrain(String instance, long fence) {}
 
     @Override
-    public Sight of(String instance) {
-        return probe.of(instance);
+    public WorkerStatus statusOf(String instance) {
+        return probe.lastObservation(instance);
     }
 
     @Override
@@ -47,17 +48,17 @@
 
     @Override
     public Set<String> overdue() {
-        return probe.overdue(returnMillis);
+        return probe.overdue(maxRebootMillis);
     }
 
     @Override
     public OptionalLong confirmedAt(long revision) {
-        return confirmed.at(revision);
+        return confirmedRevisions.confirmedAt(revision);
     }
 
     @Override
     public OptionalLong undrainedAt(String instance, long fence) {
-        Long at = undrained.get(new Undrain(instance, fence));
+        Long at = undrainTimes.get(new Undrain(instance, fence));
         return at == null ? OptionalLong.empty() : OptionalLong.of(at);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EmptiedWorkerTest.java
@@ -24,26 +24,26 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
-import org.lupinpaddle.core.run.EndReport;
-import org.lupinpaddle.core.run.HoldAnswer;
 import org.lupinpaddle.core.run.HoldOrder;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
 import org.lupinpaddle.core.run.PaceOrder;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunResult;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.run.SchedulerTiming;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
@@ -59,18 +59,18 @@
 import org.lupinpaddle.daemon.port.StorePage;
 import org.lupinpaddle.daemon.port.WorkerOrders;
 
-/** What a service's owner has called empty stays empty, also when another owner follows. */
+/** Tests that a worker which its service's owner reported as empty gets no tasks from a succeeding owner either. */
 class EmptiedWorkerTest {
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final Workers orders = new Workers();
 
-    /** Answers each hold 20 ms later, and takes each start. */
+    /** Answers each hold order after 20 ms and accepts each start. */
     private final class Workers implements WorkerOrders {
         private final List<String> startedOn = new ArrayList<>();
-        private List<RunningReport> running = List.of();
-        private List<EndReport> ended = List.of();
+        private List<RunStatus> running = List.of();
+        private List<RunResult> ended = List.of();
 
         @Override
         public CompletableFuture<OrderOutcome> start(StartOrder order, long fence) {
@@ -91,7 +91,7 @@
         @Override
         public CompletableFuture<HoldResult> hold(HoldOrder order, long fence) {
             CompletableFuture<HoldResult> r = new CompletableFuture<>();
-            HoldAnswer a = new HoldAnswer(100_000 + loop.clock().millis(), running, ended);
+            HoldResponse a = new HoldResponse(100_000 + loop.clock().millis(), running, ended);
             loop.after(20, () -> r.complete(new HoldResult(OrderOutcome.ACCEPTED, a)));
             return r;
         }
@@ -104,17 +104,17 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             throw new UnsupportedOperationException("not needed here");
         }
     }
 
-    /** Takes a while for the pages of a prefix, since an answer was lost; for the empty one it is slow in all. */
-    private final class SlowFor implements KeyValueStore {
+    /** Delays the pages of a prefix, as after a lost answer; with an empty prefix it delays all pages and commits. */
+    private final class SlowStore implements KeyValueStore {
         private final String prefix;
         private final long millis;
 
-        private SlowFor(String prefix, long millis) {
+        private SlowStore(String prefix, long millis) {
             this.prefix = prefix;
             this.millis = millis;
         }
@@ -166,10 +166,10 @@
     }
 
     private SchedulerHost owner(String slowPrefix, long slowMillis) {
-        long fence = store.set(JobKeys.owner("clips"), "entry");
+        long fence = store.set(SchedulerKeys.owner("clips"), "entry");
         SchedulerTiming timing = new SchedulerTiming(5_000, 1_000, 2_000, 2_700, 7_000, 2_000, 10_000);
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
-                new SlowFor(slowPrefix, slowMillis),
+        SchedulerHost.Context context = new SchedulerHost.Context(
+                new SlowStore(slowPrefix, slowMillis),
                 orders,
                 order -> CompletableFuture.completedFuture(Optional.empty()),
                 new NoInstances(),
@@ -177,85 +177,87 @@
                 () -> true,
                 loop.clock(),
                 timing,
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(FakeRecords.CONFIGURATION, 0, true, Workspaces.NONE));
         WorkerFeed workers =
-                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMeters()), () -> {});
+                new WorkerFeed(store, loop, new FakeRecords(), new UnreadableEntries(new JobMetrics()), () -> {});
         workers.start();
-        passes(50);
-        SchedulerHost host = new SchedulerHost(entry, "clips", fence, workers, () -> {}, () -> {});
+        advance(50);
+        SchedulerHost host = new SchedulerHost(context, "clips", fence, workers, () -> {}, () -> {});
         host.start();
         return host;
     }
 
-    private void passes(long millis) {
+    private void advance(long millis) {
         for (long left = millis; left > 0; left -= 50) {
-            loop.passes(50);
-            store.tellWatches();
+            loop.advance(50);
+            store.notifyWatches();
         }
     }
 
-    private void anEmptiedWorkerAndAJobThatWaits() {
-        aWorkerAndAJob();
+    private void addEmptiedWorkerAndPendingJob() {
+        addWorkerAndJob();
         EvacuationRecord emptied = new EvacuationRecord("w1", "m1", "MOVE:spare", true, true);
-        store.set(JobKeys.evacuation("clips", "w1"), RecordCodec.write(emptied));
+        store.set(SchedulerKeys.evacuation("clips", "w1"), RecordCodec.write(emptied));
     }
 
-    private void aWorkerAndAJob() {
-        WorkerFacts w =
-                new WorkerFacts("w1", "clips", "at-w1", "north", false, 0, new Room(4_000, 8_000, 0), List.of("rack"));
+    private void addWorkerAndJob() {
+        WorkerFacts w = new WorkerFacts(
+                "w1", "clips", "at-w1", "north", false, 0, new Resources(4_000, 8_000, 0), List.of("rack"));
         store.set("worker/w1", RecordCodec.write(w));
         StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
         JobKey key = new JobKey("q", "a");
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobSpec spec = new JobSpec(key, "clips", "text", List.of(one), Repeat.ONCE, policy, 0);
-        store.set(JobKeys.job("clips", key), RecordCodec.write(spec));
+        store.set(SchedulerKeys.job("clips", key), RecordCodec.write(spec));
     }
 
     @Test
-    void getsNothingFromASuccessorThatKnowsOfTheRequest() {
-        anEmptiedWorkerAndAJobThatWaits();
-        owner(JobKeys.evacuations("clips"), 0);
-        passes(1_000);
+    void getsNoTaskFromASuccessorThatHasReadTheRequest() {
+        addEmptiedWorkerAndPendingJob();
+        owner(SchedulerKeys.evacuations("clips"), 0);
+        advance(1_000);
         assertEquals(List.of(), orders.startedOn);
     }
 
     @Test
-    void getsNothingFromASuccessorBeforeItHasReadTheRequests() {
-        anEmptiedWorkerAndAJobThatWaits();
-        owner(JobKeys.evacuations("clips"), 300);
-        passes(1_000);
-        assertTrue(orders.startedOn.isEmpty(), "its instance may be ordered away at any moment: it was called empty");
+    void getsNoTaskBeforeTheSuccessorHasReadTheRequests() {
+        addEmptiedWorkerAndPendingJob();
+        owner(SchedulerKeys.evacuations("clips"), 300);
+        advance(1_000);
+        assertTrue(orders.startedOn.isEmpty(), "the instance of a worker reported as empty may be moved at any moment");
     }
 
     @Test
-    void getsNothingFromASuccessorWhoseStoreIsSlow() {
-        anEmptiedWorkerAndAJobThatWaits();
+    void getsNoTaskFromASuccessorWithASlowStore() {
+        addEmptiedWorkerAndPendingJob();
         owner("", 250);
-        passes(3_000);
-        assertTrue(orders.startedOn.isEmpty(), "it was chosen before the requests were read, and started after");
+        advance(3_000);
+        assertTrue(
+                orders.startedOn.isEmpty(),
+                "the worker was chosen before the requests were read, and the task started afterwards");
     }
 
-    /** Its worker drains, and may be gone before the next owner has asked it; one write of its end is lost. */
+    /** The worker drains and may be gone before the next owner contacts it; the first write of the result is lost. */
     @Test
-    void anEndThatWasHeardIsWrittenBeforeItsOwnerHandsTheServiceOver() {
-        aWorkerAndAJob();
-        SchedulerHost host = owner(JobKeys.evacuations("clips"), 0);
+    void receivedResultIsWrittenAfterTheHostCloses() {
+        addWorkerAndJob();
+        SchedulerHost host = owner(SchedulerKeys.evacuations("clips"), 0);
         TaskId first = new TaskId(0, 0, 0);
-        orders.running = List.of(new RunningReport("a", first, 1, "", 50, -1));
-        passes(1_000);
+        orders.running = List.of(new RunStatus("a", first, 1, "", 50, -1));
+        advance(1_000);
         assertEquals(List.of("w1"), orders.startedOn);
         orders.running = List.of();
-        orders.ended = List.of(new EndReport(1, "a", first, 1, EndKind.DONE, ""));
-        store.holdsCommits = true;
-        loop.passes(30);
-        store.holdsCommits = false;
+        orders.ended = List.of(new RunResult(1, "a", first, 1, EndKind.DONE, ""));
+        store.dropsCommitAnswers = true;
+        loop.advance(30);
+        store.dropsCommitAnswers = false;
         host.close();
-        passes(1_000);
+        advance(1_000);
         JobProgress left = RecordCodec.read(
-                        store.value(JobKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
+                        store.value(SchedulerKeys.progress("clips", new JobKey("q", "a"))), JobProgress.class)
                 .get();
-        assertTrue(left.over(), "heard some milliseconds before the hand-over: " + left);
+        assertTrue(left.finished(), "received some milliseconds before the hand-over: " + left);
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/OwnedRecordsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/FencedRecordWriterTest.java
@@ -22,17 +22,17 @@
 import java.util.Map;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
-/** The two conditions of an owner's writes: without either, one of these tests fails. */
-class OwnedRecordsTest {
+/** Tests both conditions of an owner's writes; without either of them, a test fails. */
+class FencedRecordWriterTest {
 
     private static final String KEY = "record";
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
-    private final List<OwnedRecords.Outcome> outcomes = new ArrayList<>();
-    private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
-    private final OwnedRecords records = new OwnedRecords(store, new DirectLoop(), "clips", fence);
+    private final List<FencedRecordWriter.Outcome> outcomes = new ArrayList<>();
+    private final long fence = store.set(SchedulerKeys.owner("clips"), "entry-1");
+    private final FencedRecordWriter records = new FencedRecordWriter(store, new DirectLoop(), "clips", fence);
 
     private void write(String value) {
         records.write(Map.of(KEY, value), outcomes::add);
@@ -42,20 +42,20 @@
     class Ownership {
 
         @Test
-        void isNeededForAWrite() {
+        void isRequiredForAWrite() {
             write("mine");
-            store.set(JobKeys.owner("clips"), "entry-2");
-            write("not mine any more");
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            write("no longer owner");
             assertEquals("mine", store.value(KEY));
-            assertEquals(List.of(OwnedRecords.Outcome.SAVED, OwnedRecords.Outcome.NOT_OWNER), outcomes);
+            assertEquals(List.of(FencedRecordWriter.Outcome.SAVED, FencedRecordWriter.Outcome.NOT_OWNER), outcomes);
         }
 
         @Test
-        void thatWasLostMakesALateWriteFail() {
-            store.holdsCommits = true;
+        void thatWasLostRejectsALateWrite() {
+            store.dropsCommitAnswers = true;
             write("late");
-            store.set(JobKeys.owner("clips"), "entry-2");
-            store.carryOutHeld();
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            store.applyDroppedCommits();
             assertEquals("", store.value(KEY));
         }
     }
@@ -64,26 +64,26 @@
     class LateWrites {
 
         @Test
-        void doNotReplaceNewerOnes() {
-            store.holdsCommits = true;
+        void doNotOverwriteNewerOnes() {
+            store.dropsCommitAnswers = true;
             write("old");
-            store.holdsCommits = false;
+            store.dropsCommitAnswers = false;
             write("new");
-            store.carryOutHeld();
+            store.applyDroppedCommits();
             assertEquals("new", store.value(KEY));
-            assertEquals(List.of(OwnedRecords.Outcome.RETRY, OwnedRecords.Outcome.SAVED), outcomes);
+            assertEquals(List.of(FencedRecordWriter.Outcome.RETRY, FencedRecordWriter.Outcome.SAVED), outcomes);
         }
 
         @Test
-        void thatWereMadeAreLearntOfAndWrittenOver() {
-            store.holdsCommits = true;
+        void thatWereAppliedAreDetectedAndOverwritten() {
+            store.dropsCommitAnswers = true;
             write("first");
-            store.carryOutHeld();
-            store.holdsCommits = false;
+            store.applyDroppedCommits();
+            store.dropsCommitAnswers = false;
             write("second");
             write("second");
             assertEquals("second", store.value(KEY));
-            assertEquals(OwnedRecords.Outcome.SAVED, outcomes.get(2));
+            assertEquals(FencedRecordWriter.Outcome.SAVED, outcomes.get(2));
         }
     }
 
@@ -98,33 +98,33 @@
         }
 
         @Test
-        void goTogetherWhileOneIsUnderWay() {
+        void areMergedWhileAnotherIsInProgress() {
             store.delaysCommits = true;
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY + i, "value"), () -> {});
             }
-            while (store.answerOne()) {
-                // One after the other, as the store answers.
+            while (store.answerNext()) {
+                // Answers the writes one by one.
             }
             assertEquals("value", store.value(KEY + 45));
-            assertEquals(1 + 45 / OwnedRecords.MOST_AT_ONCE, store.commits);
+            assertEquals(1 + 45 / FencedRecordWriter.MAX_RECORDS_PER_WRITE, store.commits);
         }
 
         @Test
-        void leaveOutWhatIsWrittenOverWhileItWaits() {
+        void skipValuesOverwrittenInTheQueue() {
             store.delaysCommits = true;
             for (int i = 0; i < 46; i++) {
                 records.writeInOrder(Map.of(KEY, "value " + i), () -> {});
             }
-            while (store.answerOne()) {
-                // One after the other, as the store answers.
+            while (store.answerNext()) {
+                // Answers the writes one by one.
             }
             assertEquals("value 45", store.value(KEY));
             assertEquals(2, store.commits);
         }
 
         @Test
-        void areMadeAtOnceWhenARecordHasChangedMeanwhile() {
+        void areRepeatedAtOnceAfterAConflict() {
             records.writeInOrder(Map.of(KEY, "asked"), () -> {});
             store.set(KEY, "answered by another");
             records.writeInOrder(Map.of(KEY, ""), () -> {});
@@ -132,25 +132,25 @@
         }
 
         @Test
-        void goOnPastARecordThatTheStoreWillNeverTake() {
-            store.mostValueLength = 5;
+        void skipARecordThatTheStoreRejects() {
+            store.maxValueLength = 5;
             store.delaysCommits = true;
             for (int i = 0; i < 4; i++) {
                 String value = i == 2 ? "too long" : "short";
                 records.writeInOrder(Map.of(KEY + i, value), () -> {});
             }
-            for (int i = 0; i < 20 && store.answerOne(); i++) {
-                // One after the other, as the store answers.
+            for (int i = 0; i < 20 && store.answerNext(); i++) {
+                // Answers the writes one by one.
             }
             assertEquals("short", store.value(KEY + 3));
             assertEquals("", store.value(KEY + 2));
-            assertEquals(0, records.waiting());
+            assertEquals(0, records.pendingWrites());
         }
 
         @Test
-        void endWhenTheDutyIsOwnedElsewhere() {
+        void stopWhenTheDutyIsOwnedElsewhere() {
             int[] lost = new int[1];
-            store.set(JobKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
             records.writeInOrder(Map.of(KEY, "running"), () -> lost[0]++);
             assertEquals(1, lost[0]);
             assertEquals("", store.value(KEY));
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobQuestionsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobCommandExecutorTest.java
@@ -26,12 +26,12 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.job.SchedulerKeys;
 
-/** What operators are told of jobs, from the store alone. */
-class JobQuestionsTest {
+/** Tests the answers to operators' commands about jobs, which are read from the store alone. */
+class JobCommandExecutorTest {
 
     private static final JobKey A = new JobKey("q", "a");
     private static final long WALL_MILLIS = 9_000;
@@ -40,9 +40,9 @@
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
-    private final JobQuestions questions =
-            new JobQuestions(store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
+    private final JobCommandExecutor questions = new JobCommandExecutor(
+            store, records, new JobIntake(store, loop, records, feed, () -> WALL_MILLIS, () -> true));
 
     private List<String> answer(String words) {
         List<String> lines = new ArrayList<>();
@@ -51,33 +51,35 @@
     }
 
     @Nested
-    class ARecordThatCanNotBeRead {
+    class UnreadableRecord {
 
         @Test
-        void isListedWithWhatIsWrongWithIt() {
-            store.set(JobKeys.job("clips", A), "{}");
-            store.setNoText(JobKeys.progress("clips", A));
+        void isListedWithItsError() {
+            store.set(SchedulerKeys.job("clips", A), "{}");
+            store.setNonText(SchedulerKeys.progress("clips", A));
             List<String> lines = answer("job list");
             assertEquals(2, lines.size(), lines.toString());
-            assertTrue(lines.get(0).startsWith(JobKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
-            assertTrue(lines.get(1).startsWith(JobKeys.progress("clips", A) + "  unreadable: not-text"), lines.get(1));
+            assertTrue(lines.get(0).startsWith(SchedulerKeys.job("clips", A) + "  unreadable: missing:"), lines.get(0));
+            assertTrue(
+                    lines.get(1).startsWith(SchedulerKeys.progress("clips", A) + "  unreadable: not-text"),
+                    lines.get(1));
         }
 
         @Test
-        void ofAnyKindIsListedByItself() {
+        void ofAnyKindIsListed() {
             assertEquals(List.of("all entries can be read"), answer("job unreadable"));
             List<String> keys = List.of(
                     FakeRecords.CONFIGURATION,
                     "worker/w1",
                     "wave/1",
-                    JobKeys.evacuation("clips", "w1"),
-                    JobKeys.report("clips"),
-                    JobKeys.upkeep(1),
-                    JobKeys.recentOrders(),
-                    JobKeys.job("clips", A),
-                    JobKeys.progress("clips", A));
+                    SchedulerKeys.evacuation("clips", "w1"),
+                    SchedulerKeys.report("clips"),
+                    SchedulerKeys.upkeep(1),
+                    SchedulerKeys.recentOrders(),
+                    SchedulerKeys.job("clips", A),
+                    SchedulerKeys.progress("clips", A));
             keys.forEach(k -> store.set(k, "[]"));
-            store.set(JobKeys.cancel("clips", A), "");
+            store.set(SchedulerKeys.cancel("clips", A), "");
             List<String> lines = answer("job unreadable");
             assertEquals(
                     new TreeSet<>(keys),
@@ -88,15 +90,15 @@
     }
 
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         private void isOver(JobProgress p) {
-            store.set(JobKeys.job("clips", A), "over");
-            store.set(JobKeys.progress("clips", A), RecordCodec.write(p));
+            store.set(SchedulerKeys.job("clips", A), "over");
+            store.set(SchedulerKeys.progress("clips", A), RecordCodec.write(p));
         }
 
         @Test
-        void isExplainedWithoutItsSteps() {
+        void isExplainedWithoutSteps() {
             isOver(new JobProgress(JobState.FAILED, List.of(), "task 0.0.1 failed 3 times", 2_000));
             List<String> lines = answer("job explain a");
             assertEquals("job a of queue q on service clips: FAILED, task 0.0.1 failed 3 times", lines.get(0));
@@ -104,9 +106,9 @@
         }
 
         @Test
-        void saysThatItsCallerCancelledIt() {
+        void showsACancellationByItsCaller() {
             isOver(new JobProgress(JobState.CANCELLED, List.of(), "", 2_000));
-            store.set(JobKeys.cancel("clips", A), A.toString());
+            store.set(SchedulerKeys.cancel("clips", A), A.toString());
             assertTrue(answer("job explain a").get(1).startsWith("over for 7000 ms, cancelled by its caller"));
         }
 
@@ -118,7 +120,7 @@
 
         @Test
         void isUnknownOnceItsProgressIsGone() {
-            store.set(JobKeys.job("clips", A), "over");
+            store.set(SchedulerKeys.job("clips", A), "over");
             assertEquals(List.of("no jobs"), answer("job list"));
             assertTrue(answer("job explain a").get(0).startsWith("no such job"));
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/JobIntakeTest.java
@@ -24,15 +24,15 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.JobState;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.Submission;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.queue.Admission;
 import org.lupinpaddle.core.queue.CallerRequest;
 import org.lupinpaddle.core.queue.JobConfiguration;
@@ -42,16 +42,16 @@
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.Workspaces;
 
-/** What a caller is told when a job is handed in. */
+/** Tests the answers that callers get when they submit, query and cancel jobs. */
 class JobIntakeTest {
 
-    private static final String JOB = JobKeys.job("clips", new JobKey("q", "a"));
+    private static final String JOB = SchedulerKeys.job("clips", new JobKey("q", "a"));
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final DirectLoop loop = new DirectLoop();
     private final FakeRecords records = new FakeRecords();
     private final ConfigurationFeed feed =
-            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMeters()), () -> {});
+            new ConfigurationFeed(store, loop, records, new UnreadableEntries(new JobMetrics()), () -> {});
     private boolean reached = true;
     private final JobIntake intake = new JobIntake(store, loop, records, feed, () -> 0, () -> reached);
 
@@ -75,16 +75,16 @@
     }
 
     @Nested
-    class AJob {
+    class SubmittedJob {
 
         @Test
-        void isTakenOnceItIsInTheStore() {
+        void isAcceptedOnceStored() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(false, store.value(JOB).isEmpty());
         }
 
         @Test
-        void isOneHoweverOftenItIsHandedIn() {
+        void isStoredOnceDespiteRepeatedSubmissions() {
             submit();
             String first = store.value(JOB);
             assertEquals(SubmitOutcome.ACCEPTED, submit());
@@ -92,22 +92,22 @@
         }
 
         @Test
-        void isNotTakenAtOnceWhileTheStoreDoesNotAnswer() {
+        void isRefusedWhileTheStoreDoesNotAnswer() {
             reached = false;
             assertEquals(SubmitOutcome.NOT_TAKEN, submit());
-            assertEquals("", store.value(JOB), "nothing may be written that was refused");
+            assertEquals("", store.value(JOB), "a refused job must not be written");
         }
 
         @Test
-        void isNotSaidToBeRefusedWhenAnAnswerIsMissing() {
-            store.holdsCommits = true;
+        void isUnknownAfterAnUnansweredWrite() {
+            store.dropsCommitAnswers = true;
             assertEquals(SubmitOutcome.UNKNOWN, submit());
-            store.carryOutHeld();
-            assertEquals(false, store.value(JOB).isEmpty(), "the write came late");
+            store.applyDroppedCommits();
+            assertEquals(false, store.value(JOB).isEmpty(), "the write was applied late");
         }
 
         @Test
-        void isNotTakenForAQueueThatIsNotThere() {
+        void isRefusedForANonexistentQueue() {
             StepSpec one = StepSpec.builder(1, new StepSpec.Need(1, 1, 0)).build();
             Submission s = new Submission("text", List.of(one), Repeat.ONCE);
             assertEquals(
@@ -122,23 +122,23 @@
     private final Admission admitted = new Admission(Admission.Outcome.ADMITTED, queue, null);
 
     @Nested
-    class AJobThatCanNotBeRead {
+    class UnreadableJob {
 
         private final JobKey job = new JobKey("q", "a");
 
         @Test
-        void hasNoStateThatIsTold() {
+        void hasAnUnknownState() {
             store.set(JOB, "{}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.setNoText(JobKeys.progress("clips", job));
+            store.setNonText(SchedulerKeys.progress("clips", job));
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
-            store.set(JobKeys.progress("clips", job), "{\"state\":\"DONE\"}");
+            store.set(SchedulerKeys.progress("clips", job), "{\"state\":\"DONE\"}");
             assertEquals(JobAnswer.UNKNOWN, intake.state(admitted, "a").join());
         }
 
         @Test
-        void isNotTakenASecondTime() {
-            store.setNoText(JOB);
+        void isNotStoredTwice() {
+            store.setNonText(JOB);
             long commits = store.commits;
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals(commits + 1, store.commits);
@@ -146,7 +146,7 @@
 
         @Test
         void mayBeCancelled() {
-            store.setNoText(JOB);
+            store.setNonText(JOB);
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -154,43 +154,43 @@
     }
 
     @Nested
-    class AReportThatCanNotBeRead {
+    class UnreadableReport {
 
         @Test
-        void isNotTakenForNothingWaiting() {
-            store.set(JobKeys.owner("clips"), "entry");
-            store.set(JobKeys.report("clips"), "{\"pendingByQueue\":7}");
-            store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
+        void isNotCountedAsZero() {
+            store.set(SchedulerKeys.owner("clips"), "entry");
+            store.set(SchedulerKeys.report("clips"), "{\"pendingByQueue\":7}");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
 
-    /** Its record is small by then; what callers are told is the same. */
+    /** The stored record of a finished job is reduced; callers must get the same answers as before. */
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         @BeforeEach
         void end() {
             store.set(JOB, "over");
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0);
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
         }
 
         @Test
-        void isNotTakenASecondTime() {
+        void isNotStoredTwice() {
             assertEquals(SubmitOutcome.ACCEPTED, submit());
             assertEquals("over", store.value(JOB));
         }
 
         @Test
-        void hasItsLastState() {
+        void keepsItsLastState() {
             assertEquals(
                     JobAnswer.of(JobState.COMPLETED),
                     intake.state(admitted, "a").join());
         }
 
         @Test
-        void mayStillBeCancelledAsBefore() {
+        void canStillBeCancelled() {
             assertEquals(
                     JobAnswer.of(JobState.CANCELLED),
                     intake.cancel(admitted, "a").join());
@@ -200,20 +200,20 @@
         }
 
         @Test
-        void isNotCountedAsWaitingThoughItsProgressIsNotSeen() {
-            store.set(JobKeys.job("clips", new JobKey("q", "b")), "over");
-            store.set(JobKeys.job("clips", new JobKey("q", "c")), "a job that waits");
+        void isNotCountedAsPendingWithoutItsProgress() {
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "b")), "over");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "c")), "a job that waits");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
 
     @Nested
-    class AWorkspacesKey {
+    class WorkspaceKey {
 
         private void configure(long version, String... keys) {
             List<KeyDigest> digests = List.of(keys).stream().map(KeyDigest::of).toList();
-            Workspace news = new Workspace("news", digests, 1, Room.NONE);
-            Workspace archive = new Workspace("archive", List.of(KeyDigest.of("k9")), 1, Room.NONE);
+            Workspace news = new Workspace("news", digests, 1, Resources.NONE);
+            Workspace archive = new Workspace("archive", List.of(KeyDigest.of("k9")), 1, Resources.NONE);
             QueueConfig keyed = new QueueConfig("q", "host", "/clips/", "clips", queue.policy(), true);
             JobConfiguration c = new JobConfiguration(
                     version,
@@ -255,7 +255,7 @@
         @Test
         void thatWasRevokedIsRefusedBeforeTheWatchReportsIt() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3);
             assertEquals(SubmitOutcome.UNKNOWN_KEY, submit("k1"));
         }
@@ -263,9 +263,9 @@
         @Test
         void thatWasJustAddedIsAccepted() {
             configure(2, "k1");
-            store.tellWatches();
+            store.notifyWatches();
             configure(3, "k1", "k2");
-            loop.passes(1_000);
+            loop.advance(1_000);
             assertEquals(SubmitOutcome.ACCEPTED, submit("k2"));
         }
 
@@ -280,19 +280,22 @@
             Admission own = intake.admit(request("k1")).join();
             assertEquals(JobAnswer.of(JobState.QUEUED), intake.state(own, "a").join());
             JobProgress running = new JobProgress(JobState.RUNNING, List.of(), "", 0, "news");
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(running));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(running));
             assertEquals(JobAnswer.NO_JOB, intake.state(other, "a").join());
             assertEquals(JobAnswer.of(JobState.RUNNING), intake.state(own, "a").join());
         }
 
-        /** Guards against cancelling an ended job of another workspace, whose own record no longer names it. */
+        /**
+         * Guards against cancelling an ended job of another workspace, whose own record no longer names the
+         * workspace.
+         */
         @Test
         void givesNoAccessToEndedJobsOfOtherWorkspaces() {
             configure(2, "k1");
-            store.tellWatches();
-            store.set(JOB, JobSpec.OVER);
+            store.notifyWatches();
+            store.set(JOB, JobSpec.FINISHED_MARKER);
             JobProgress completed = new JobProgress(JobState.COMPLETED, List.of(), "", 0, "news");
-            store.set(JobKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "a")), RecordCodec.write(completed));
             Admission other = intake.admit(request("k9")).join();
             assertEquals(JobAnswer.NO_JOB, intake.cancel(other, "a").join());
             Admission own = intake.admit(request("k1")).join();
@@ -337,10 +340,10 @@
         @Test
         void causesOneReadForConcurrentRequests() {
             configure(2, "k1");
-            store.tellWatches();
-            store.holdsReads = true;
+            store.notifyWatches();
+            store.dropsReads = true;
             long before = store.reads;
-            loop.passes(5_000);
+            loop.advance(5_000);
             for (int i = 0; i < 10; i++) {
                 var unused = intake.admit(request("k1"));
             }
@@ -349,25 +352,25 @@
     }
 
     @Nested
-    class CountsOfWaitingJobs {
+    class PendingJobCounts {
 
         private static final String REPORT =
                 "{\"pendingByQueue\":{\"q\":7},\"needed\":1,\"firm\":1,\"late\":0,\"workers\":[]}";
 
         @Test
-        void areTheOwnersOnceItHasToldThem() {
-            store.set(JobKeys.owner("clips"), "entry-2");
-            store.set(JobKeys.report("clips"), REPORT);
+        void comeFromTheOwnersReport() {
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.report("clips"), REPORT);
             assertEquals(7, intake.pending(queue).join().orElseThrow());
         }
 
         @Test
-        void areReadWhileANewOwnerHasToldNothing() {
-            store.set(JobKeys.report("clips"), REPORT);
-            store.set(JobKeys.owner("clips"), "entry-2");
-            store.set(JobKeys.job("clips", new JobKey("q", "a")), "a job that waits");
-            store.set(JobKeys.job("clips", new JobKey("q", "b")), "a job that has begun");
-            store.set(JobKeys.progress("clips", new JobKey("q", "b")), "its progress");
+        void comeFromTheStoreBeforeANewOwnerReports() {
+            store.set(SchedulerKeys.report("clips"), REPORT);
+            store.set(SchedulerKeys.owner("clips"), "entry-2");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "a")), "a job that waits");
+            store.set(SchedulerKeys.job("clips", new JobKey("q", "b")), "a job that has begun");
+            store.set(SchedulerKeys.progress("clips", new JobKey("q", "b")), "its progress");
             assertEquals(1, intake.pending(queue).join().orElseThrow());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/NodeFixture.java
@@ -24,30 +24,30 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.core.fleet.PlatformInstance;
 import org.lupinpaddle.core.job.EndKind;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobSpec;
 import org.lupinpaddle.core.job.Policy;
 import org.lupinpaddle.core.job.Repeat;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 import org.lupinpaddle.core.queue.JobConfiguration;
 import org.lupinpaddle.core.queue.QueueConfig;
 import org.lupinpaddle.core.queue.ServiceConfig;
-import org.lupinpaddle.core.run.EndReport;
-import org.lupinpaddle.core.run.HoldAnswer;
 import org.lupinpaddle.core.run.HoldOrder;
+import org.lupinpaddle.core.run.HoldResponse;
 import org.lupinpaddle.core.run.OrderOutcome;
 import org.lupinpaddle.core.run.PaceOrder;
-import org.lupinpaddle.core.run.RunningReport;
+import org.lupinpaddle.core.run.RunResult;
+import org.lupinpaddle.core.run.RunStatus;
 import org.lupinpaddle.core.run.StartOrder;
 import org.lupinpaddle.core.run.StopOrder;
 import org.lupinpaddle.daemon.port.HoldResult;
@@ -55,13 +55,13 @@
 import org.lupinpaddle.daemon.port.WorkerOrders;
 import org.lupinpaddle.daemon.settings.JobSettings;
 
-/** One entry on a store in memory and on virtual time, with workers that do as a test says. */
+/** Runs one entry with an in-memory store, virtual time and workers controlled by the test. */
 final class NodeFixture {
 
     private static final TaskId FIRST = new TaskId(0, 0, 0);
     static final long STEP_MILLIS = 10;
     private static final long LEASE_MILLIS = 3_000;
-    /** What the platform gives a process between its signal to stop and its end, in seconds. */
+    /** The time that the platform allows between the stop signal and the end of a process, in seconds. */
     static final long GRACE_SECONDS = 6;
 
     final FakeKeyValueStore store = new FakeKeyValueStore();
@@ -70,18 +70,17 @@
     final Instances instances = new Instances();
     final JobNode node = node();
 
-    /** Answers each hold at once when something has ended, else after 20 ms; takes each order. */
+    /** Answers each hold order after 20 ms and accepts all orders. */
     final class Workers implements WorkerOrders {
         final List<StartOrder> starts = new ArrayList<>();
-        private final Map<String, List<RunningReport>> running = new HashMap<>();
-        private final Map<String, List<EndReport>> ended = new HashMap<>();
+        private final Map<String, List<RunStatus>> running = new HashMap<>();
+        private final Map<String, List<RunResult>> ended = new HashMap<>();
 
         @Override
         public CompletableFuture<OrderOutcome> start(StartOrder order, long fence) {
             starts.add(order);
             running.put(
-                    order.worker().id(),
-                    List.of(new RunningReport(order.jobId(), order.task(), order.run(), "", 50, -1)));
+                    order.worker().id(), List.of(new RunStatus(order.jobId(), order.task(), order.run(), "", 50, -1)));
             return CompletableFuture.completedFuture(OrderOutcome.ACCEPTED);
         }
 
@@ -103,20 +102,20 @@
                     20,
                     () -> r.complete(new HoldResult(
                             OrderOutcome.ACCEPTED,
-                            new HoldAnswer(
+                            new HoldResponse(
                                     100_000 + loop.clock().millis(),
                                     running.getOrDefault(w, List.of()),
                                     ended.getOrDefault(w, List.of())))));
             return r;
         }
 
-        void ends(String worker, String job) {
+        void endRun(String worker, String job) {
             running.remove(worker);
-            ended.put(worker, List.of(new EndReport(1, job, FIRST, 1, EndKind.DONE, "")));
+            ended.put(worker, List.of(new RunResult(1, job, FIRST, 1, EndKind.DONE, "")));
         }
     }
 
-    /** Lists what it is given; an order is answered when a test says so. */
+    /** Lists the given instances; the test completes the orders. */
     static final class Instances implements InstanceOrders {
         List<PlatformInstance> all = List.of();
         final List<CompletableFuture<InstanceOrderOutcome>> orders = new ArrayList<>();
@@ -127,7 +126,7 @@
         }
 
         @Override
-        public CompletableFuture<InstanceOrderOutcome> order(String i, Errand e, String holder, long fence) {
+        public CompletableFuture<InstanceOrderOutcome> order(String i, InstanceOperation e, String holder, long fence) {
             CompletableFuture<InstanceOrderOutcome> r = new CompletableFuture<>();
             orders.add(r);
             return r;
@@ -148,52 +147,52 @@
                         instances,
                         bounds,
                         loop.clock(),
-                        new JobMeters()));
+                        new JobMetrics()));
     }
 
-    void passes(long millis) {
+    void advance(long millis) {
         for (long left = millis; left > 0; left -= STEP_MILLIS) {
-            loop.passes(STEP_MILLIS);
-            store.tellWatches();
+            loop.advance(STEP_MILLIS);
+            store.notifyWatches();
         }
     }
 
-    void lists(String worker, boolean draining) {
-        Room room = new Room(1_000, 8_000, 0);
+    void listWorker(String worker, boolean draining) {
+        Resources room = new Resources(1_000, 8_000, 0);
         WorkerFacts w = new WorkerFacts(
                 worker, "clips", "at-" + worker, "north", draining, draining ? 2_000 : 0, room, List.of("rack"));
         store.set("worker/" + worker, RecordCodec.write(w));
     }
 
-    void handsIn(String id) {
-        handsIn(id, StepSpec.builder(1, new StepSpec.Need(1_000, 1, 0)).build());
+    void submit(String id) {
+        submit(id, StepSpec.builder(1, new StepSpec.Need(1_000, 1, 0)).build());
     }
 
-    void handsIn(String id, StepSpec... steps) {
+    void submit(String id, StepSpec... steps) {
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         JobKey key = new JobKey("q", id);
         JobSpec spec = new JobSpec(key, "clips", "text", List.of(steps), Repeat.ONCE, policy, 0);
-        store.set(JobKeys.job("clips", key), RecordCodec.write(spec));
+        store.set(SchedulerKeys.job("clips", key), RecordCodec.write(spec));
     }
 
-    /** The node owns the service and the fleet, and a task runs on each of the workers. */
-    void serves(String... ids) {
+    /** Starts the node, which then owns the service and the fleet, with one task running on each worker. */
+    void startServing(String... ids) {
         Policy policy = new Policy(0, 3, 1.5, 500, false);
         List<QueueConfig> queues = List.of(new QueueConfig("q", "host", "/q/", "clips", policy));
         List<ServiceConfig> services =
                 List.of(new ServiceConfig("clips", false, true), new ServiceConfig("spare", true, true));
         store.set(FakeRecords.CONFIGURATION, RecordCodec.write(new JobConfiguration(1, queues, services, 1 << 18)));
         for (String w : ids) {
-            lists(w, false);
-            handsIn("job-" + w);
+            listWorker(w, false);
+            submit("job-" + w);
         }
         node.start();
-        passes(2_000);
-        assertEquals(ids.length, workers.starts.size(), "one task runs on each worker");
+        advance(2_000);
+        assertEquals(ids.length, workers.starts.size(), "one task must run on each worker");
     }
 
-    void ends(String worker) {
-        workers.ends(worker, jobOn(worker));
+    void endRunOn(String worker) {
+        workers.endRun(worker, jobOn(worker));
     }
 
     String jobOn(String worker) {
@@ -204,22 +203,22 @@
                 .jobId();
     }
 
-    boolean saysOver(String job) {
-        return RecordCodec.read(store.value(JobKeys.progress("clips", new JobKey("q", job))), JobProgress.class)
+    boolean isRecordedAsFinished(String job) {
+        return RecordCodec.read(store.value(SchedulerKeys.progress("clips", new JobKey("q", job))), JobProgress.class)
                 .get()
-                .over();
+                .finished();
     }
 
     boolean owns(String duty) {
-        return !store.value(JobKeys.owner(duty)).isEmpty();
+        return !store.value(SchedulerKeys.owner(duty)).isEmpty();
     }
 
-    /** Lets time pass until the duty is free; returns how long that took. */
-    long untilFree(String duty, long mostMillis) {
-        long begun = loop.clock().millis();
-        while (owns(duty) && loop.clock().millis() - begun < mostMillis) {
-            passes(STEP_MILLIS);
+    /** Advances the time until the duty has no owner and returns how long that took. */
+    long millisUntilFree(String duty, long maxMillis) {
+        long startedAt = loop.clock().millis();
+        while (owns(duty) && loop.clock().millis() - startedAt < maxMillis) {
+            advance(STEP_MILLIS);
         }
-        return loop.clock().millis() - begun;
+        return loop.clock().millis() - startedAt;
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaKeeperTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/QuotaManagerTest.java
@@ -25,28 +25,28 @@
 import java.util.concurrent.CompletableFuture;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.lupinpaddle.core.job.JobKeys;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.job.SchedulerKeys;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.run.SchedulerTiming;
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.WorkspaceQuota;
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /** Tests the quota grants that a service owner writes to an in-memory store. */
-class QuotaKeeperTest {
+class QuotaManagerTest {
 
-    private static final Room TASK = new Room(1_000, 0, 0);
+    private static final Resources TASK = new Resources(1_000, 0, 0);
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
     private final List<Workspace> workspaces = new ArrayList<>();
-    private final QuotaKeeper keeper = keeper();
+    private final QuotaManager manager = manager();
 
-    private QuotaKeeper keeper() {
-        long fence = store.set(JobKeys.owner("clips"), "entry");
+    private QuotaManager manager() {
+        long fence = store.set(SchedulerKeys.owner("clips"), "entry");
         long revision = store.set(FakeRecords.CONFIGURATION, "any");
         NodeFixture.Instances instances = new NodeFixture.Instances();
-        SchedulerHost.Entry entry = new SchedulerHost.Entry(
+        SchedulerHost.Context entry = new SchedulerHost.Context(
                 store,
                 new NodeFixture().workers,
                 order -> CompletableFuture.completedFuture(Optional.empty()),
@@ -55,27 +55,27 @@
                 () -> true,
                 loop.clock(),
                 SchedulerTiming.usual(5_000, 300, 12_000),
-                new JobMeters(),
-                new UnreadableEntries(new JobMeters()),
-                () -> new WorkspacesInForce(
+                new JobMetrics(),
+                new UnreadableEntries(new JobMetrics()),
+                () -> new ActiveWorkspaces(
                         FakeRecords.CONFIGURATION, revision, true, new Workspaces(List.copyOf(workspaces), List.of())));
-        return new QuotaKeeper(entry, "clips", fence, () -> {});
+        return new QuotaManager(entry, "clips", fence, () -> {});
     }
 
     private void addLimitedWorkspace(String workspace, long cpuMillis) {
-        workspaces.add(new Workspace(workspace, List.of(), 1, new Room(cpuMillis, 0, 0)));
+        workspaces.add(new Workspace(workspace, List.of(), 1, new Resources(cpuMillis, 0, 0)));
     }
 
     private WorkspaceQuota addWaitingTask(String workspace) {
-        WorkspaceQuota q = keeper.table().of(workspace);
+        WorkspaceQuota q = manager.table().of(workspace);
         q.addWaiting(TASK, TASK);
         return q;
     }
 
-    private void runKeeper() {
+    private void runManager() {
         for (int i = 0; i < 10; i++) {
-            keeper.run();
-            loop.passes(10);
+            manager.run();
+            loop.advance(10);
         }
     }
 
@@ -86,19 +86,19 @@
         void getsAGrant() {
             addLimitedWorkspace("news", 4_000);
             WorkspaceQuota q = addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertTrue(q.mayPlace(TASK));
-            assertFalse(store.value(JobKeys.quota("news")).isEmpty());
+            assertFalse(store.value(SchedulerKeys.quota("news")).isEmpty());
         }
 
         /** Guards against withholding grants from a workspace whose quota a later configuration adds. */
         @Test
         void getsAGrantWhenALaterConfigurationAddsTheQuota() {
             addLimitedWorkspace("news", 4_000);
-            runKeeper();
+            runManager();
             addLimitedWorkspace("archive", 4_000);
             WorkspaceQuota q = addWaitingTask("archive");
-            runKeeper();
+            runManager();
             assertTrue(q.mayPlace(TASK));
         }
     }
@@ -109,7 +109,7 @@
         @Test
         void nothingIsWritten() {
             addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertEquals(0, store.commits);
         }
     }
@@ -120,10 +120,10 @@
         /** Guards against retrying a write that cannot succeed because ownership was lost. */
         @Test
         void attemptsOnlyOneWrite() {
-            store.set(JobKeys.owner("clips"), "another entry");
+            store.set(SchedulerKeys.owner("clips"), "another entry");
             addLimitedWorkspace("news", 4_000);
             WorkspaceQuota q = addWaitingTask("news");
-            runKeeper();
+            runManager();
             assertEquals(1, store.commits);
             assertFalse(q.mayPlace(TASK));
         }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/EarlierJobsTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/RecoveredJobsTest.java
@@ -26,84 +26,85 @@
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
 import org.lupinpaddle.core.job.JobKey;
-import org.lupinpaddle.core.job.JobKeys;
 import org.lupinpaddle.core.job.JobProgress;
 import org.lupinpaddle.core.job.JobState;
+import org.lupinpaddle.core.job.SchedulerKeys;
 import org.lupinpaddle.core.job.TaskRecord;
 
-class EarlierJobsTest {
+class RecoveredJobsTest {
 
     private static final JobKey OVER = new JobKey("q", "over");
     private static final JobKey LIVE = new JobKey("q", "live");
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final DirectLoop loop = new DirectLoop();
-    private final long fence = store.set(JobKeys.owner("clips"), "entry-1");
-    private final UnreadableEntries unreadable = new UnreadableEntries(new JobMeters());
-    private final EarlierJobs jobs =
-            new EarlierJobs(new OwnedRecords(store, loop, "clips", fence), loop, "clips", unreadable);
+    private final long fence = store.set(SchedulerKeys.owner("clips"), "entry-1");
+    private final UnreadableEntries unreadable = new UnreadableEntries(new JobMetrics());
+    private final RecoveredJobs jobs =
+            new RecoveredJobs(new FencedRecordWriter(store, loop, "clips", fence), loop, "clips", unreadable);
 
     @BeforeEach
     void read() {
         TaskRecord task = new TaskRecord(0, 0, 0, 1, 0, false, "w1", "");
         set(OVER, new JobProgress(JobState.COMPLETED, List.of(), "", 0));
         set(LIVE, new JobProgress(JobState.CANCELLED, List.of(task), "", 0));
-        jobs.read(store.range(JobKeys.progress("clips")).join());
+        jobs.read(store.range(SchedulerKeys.progress("clips")).join());
     }
 
     private void set(JobKey job, JobProgress p) {
-        store.set(JobKeys.job("clips", job), "job");
-        store.set(JobKeys.progress("clips", job), RecordCodec.write(p));
+        store.set(SchedulerKeys.job("clips", job), "job");
+        store.set(SchedulerKeys.progress("clips", job), RecordCodec.write(p));
     }
 
     @Nested
-    class AJobThatIsOver {
+    class FinishedJob {
 
         @Test
-        void needNotBeRead() {
-            assertTrue(jobs.isOver(OVER));
-            assertTrue(jobs.isOver(OVER), "nor when its record is seen again");
+        void isFinished() {
+            assertTrue(jobs.isFinished(OVER));
+            assertTrue(jobs.isFinished(OVER), "still finished when its record is read again");
         }
 
         @Test
-        void stayOverUntilItsRecordsAreGoneForCertain() {
-            assertNotNull(jobs.takeProgress(OVER), "a scheduler had taken it, and has let it go now");
-            store.holdsCommits = true;
-            jobs.forget(List.of(OVER));
-            assertTrue(jobs.isOver(OVER), "the store has not answered; its record may be read again");
-            store.holdsCommits = false;
-            jobs.forget(List.of());
-            assertFalse(jobs.isOver(OVER));
-            assertEquals("", store.value(JobKeys.job("clips", OVER)));
+        void staysFinishedUntilItsRecordsAreRemoved() {
+            assertNotNull(jobs.takeProgress(OVER), "a scheduler took the job and has released it");
+            store.dropsCommitAnswers = true;
+            jobs.removeExpired(List.of(OVER));
+            assertTrue(jobs.isFinished(OVER), "the removal is unanswered, so the record may be read again");
+            store.dropsCommitAnswers = false;
+            jobs.removeExpired(List.of());
+            assertFalse(jobs.isFinished(OVER));
+            assertEquals("", store.value(SchedulerKeys.job("clips", OVER)));
         }
     }
 
     @Nested
-    class AJobWithATaskOnAWorker {
+    class EndedJobWithARunningTask {
 
         @Test
-        void isHandedOnThoughItHasEnded() {
-            assertFalse(jobs.isOver(LIVE), "its task must still be stopped");
+        void isPassedToTheScheduler() {
+            assertFalse(jobs.isFinished(LIVE), "the job's task must still be stopped");
             assertNotNull(jobs.takeProgress(LIVE));
         }
     }
 
     @Nested
-    class ATaskWhoseCountOfCrashesIsNoCount {
+    class InvalidCrashCount {
 
         private static final JobKey COUNTED = new JobKey("q", "counted");
 
-        /** Without its job it would be begun anew, and what is wrong with it would stay unknown. */
+        /** Without the job's other progress it would be started anew, and the error would stay unreported. */
         @Test
-        void isHandedOnAndToldAsUnreadable() {
+        void isPassedToTheSchedulerAndReported() {
             store.set(
-                    JobKeys.progress("clips", COUNTED),
+                    SchedulerKeys.progress("clips", COUNTED),
                     "{\"state\":\"RUNNING\",\"tasks\":[[0,0,0,3,0,false,\"w1\",\"\",-2]],\"reason\":\"\",\"changedMillis\":0}");
-            jobs.read(store.range(JobKeys.progress("clips")).join());
-            assertFalse(jobs.isUnread(COUNTED));
-            assertEquals(1, unreadable.now().size());
+            jobs.read(store.range(SchedulerKeys.progress("clips")).join());
+            assertFalse(jobs.isUnreadable(COUNTED));
+            assertEquals(1, unreadable.snapshot().size());
             assertEquals(
-                    "out-of-range:tasks.crashes", unreadable.now().get(0).why().toString());
+                    "out-of-range:tasks.crashes",
+                    unreadable.snapshot().get(0).why().toString());
         }
     }
 }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/jobs/WorkerFeedTest.java
@@ -25,146 +25,146 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 import org.lupinpaddle.core.common.RecordCodec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.placement.WorkerFacts;
 
-/** Which workers are listed while records of another writer come and go among them. */
+/** Tests which workers are listed while unreadable records of another writer appear among them. */
 class WorkerFeedTest {
 
     private static final String BAD = "{\"service\":7}";
 
     private final FakeKeyValueStore store = new FakeKeyValueStore();
     private final TimedLoop loop = new TimedLoop();
-    private final JobMeters meters = new JobMeters();
+    private final JobMetrics meters = new JobMetrics();
     private final UnreadableEntries unreadable = new UnreadableEntries(meters);
     private final WorkerFeed feed = new WorkerFeed(store, loop, new FakeRecords(), unreadable, () -> {});
 
     @BeforeEach
-    void twoWorkers() {
-        good("w1");
-        good("w2");
+    void addTwoWorkers() {
+        addWorker("w1");
+        addWorker("w2");
     }
 
-    private void good(String id) {
-        Room room = new Room(4_000, 4_000, 0);
+    private void addWorker(String id) {
+        Resources room = new Resources(4_000, 4_000, 0);
         WorkerFacts f = new WorkerFacts(id, "clips", id + ":1", "north", false, 0, room, List.of());
         store.set("worker/" + id, RecordCodec.write(f));
     }
 
-    private void started() {
+    private void startFeed() {
         feed.start();
-        passes();
+        advance();
     }
 
-    private void passes() {
+    private void advance() {
         for (int i = 0; i < 10; i++) {
-            loop.passes(50);
-            store.tellWatches();
+            loop.advance(50);
+            store.notifyWatches();
         }
-        loop.passes(50);
+        loop.advance(50);
     }
 
     private Set<String> listed() {
         return feed.of("clips").stream().map(WorkerFacts::id).collect(Collectors.toCollection(TreeSet::new));
     }
 
-    private long counted() {
+    private long unreadableCount() {
         return meters.registry().counter("entries.unreadable.worker").getCount();
     }
 
     @Nested
-    class ABadRecord {
+    class UnreadableRecord {
 
         @Test
-        void thatWasThereBeforeNamesNoWorker() {
+        void presentAtTheStartIsNotListed() {
             store.set("worker/a-first", BAD);
-            store.setNoText("worker/b-second");
-            started();
+            store.setNonText("worker/b-second");
+            startFeed();
             assertEquals(Set.of("w1", "w2"), listed());
-            assertEquals(2, counted());
+            assertEquals(2, unreadableCount());
         }
 
         @Test
-        void thatReplacesAGoodOneTakesItsWorkerOffTheList() {
-            started();
+        void unlistsItsWorker() {
+            startFeed();
             store.set("worker/w1", BAD);
-            passes();
+            advance();
             assertEquals(Set.of("w2"), listed());
         }
 
         @Test
-        void thatIsReplacedByAGoodOneIsForgotten() {
-            started();
-            store.setNoText("worker/w1");
-            passes();
-            good("w1");
-            passes();
+        void isForgottenOnceReadableAgain() {
+            startFeed();
+            store.setNonText("worker/w1");
+            advance();
+            addWorker("w1");
+            advance();
             assertEquals(Set.of("w1", "w2"), listed());
-            assertEquals(List.of(), unreadable.now());
+            assertEquals(List.of(), unreadable.snapshot());
         }
 
         @Test
-        void thatIsRemovedIsForgotten() {
-            started();
+        void isForgottenOnceRemoved() {
+            startFeed();
             store.set("worker/w1", BAD);
-            passes();
+            advance();
             store.remove("worker/w1");
-            passes();
+            advance();
             assertEquals(Set.of("w2"), listed());
-            assertEquals(List.of(), unreadable.now());
+            assertEquals(List.of(), unreadable.snapshot());
         }
 
         @Test
-        void doesNotHoldUpWhatComesWithIt() {
-            started();
+        void doesNotBlockOtherChanges() {
+            startFeed();
             store.set("worker/w1", BAD);
-            good("w3");
-            passes();
+            addWorker("w3");
+            advance();
             assertEquals(Set.of("w2", "w3"), listed());
         }
 
         @Test
-        void isCountedOnceForEachReason() {
-            started();
+        void isCountedOncePerReason() {
+            startFeed();
             for (int i = 0; i < 5; i++) {
                 store.set("worker/w1", BAD);
-                passes();
+                advance();
             }
-            assertEquals(1, counted());
-            store.setNoText("worker/w1");
-            passes();
-            assertEquals(2, counted());
+            assertEquals(1, unreadableCount());
+            store.setNonText("worker/w1");
+            advance();
+            assertEquals(2, unreadableCount());
         }
     }
 
     @Nested
-    class WhereAllAreBad {
+    class OnlyUnreadableRecords {
 
         @Test
-        void noneIsListedUntilOneIsGood() {
+        void listNoWorkerUntilOneIsReadable() {
             store.set("worker/w1", BAD);
-            store.setNoText("worker/w2");
-            started();
+            store.setNonText("worker/w2");
+            startFeed();
             assertEquals(Set.of(), listed());
-            good("w2");
-            passes();
+            addWorker("w2");
+            advance();
             assertEquals(Set.of("w2"), listed());
         }
     }
 
     @Nested
-    class AnyNumberOfBadRecords {
+    class ManyUnreadableRecords {
 
         private static final int MANY = 5_000;
 
         @Test
-        void isRememberedInPartAndCountedInFull() {
+        void areAllCountedButOnlySomeTracked() {
             for (int i = 0; i < MANY; i++) {
                 store.set("worker/bad-" + i, BAD);
             }
-            started();
-            assertEquals(MANY, counted());
-            assertEquals(1_000, unreadable.now().size());
+            startFeed();
+            assertEquals(MANY, unreadableCount());
+            assertEquals(1_000, unreadable.snapshot().size());
             assertEquals(Set.of("w1", "w2"), listed());
         }
     }
--- a/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
+++ b/daemon/src/test/java/org/lupinpaddle/daemon/slot/SimWorker.java
@@ -18,15 +18,14 @@
 import java.util.function.Consumer;
 import org.lupinpaddle.core.request.AttemptOutcome;
 
-/** One worker with its slots: runs, refuses when full, and fails as it is told. */
+/** A simulated worker: runs jobs in its slots, refuses jobs when all are taken and fails according to its behaviour. */
 final class SimWorker {
 
-    /** How a worker behaves. */
-    enum Manner {
-        GOOD,
-        /** Fails everything after a millisecond. */
+    enum Behaviour {
+        HEALTHY,
+        /** Fails every job after one millisecond. */
         FAILS_FAST,
-        /** Fails everything after the time it would have run. */
+        /** Fails every job after its normal run time. */
         FAILS_SLOWLY
     }
 
@@ -34,7 +33,7 @@
 
     final String id;
     final String hall;
-    Manner manner = Manner.GOOD;
+    Behaviour behaviour = Behaviour.HEALTHY;
     long busyMillis;
     private final SimTime time;
     private int running;
@@ -51,12 +50,12 @@
             return;
         }
         running++;
-        long took = manner == Manner.FAILS_FAST || job.poison ? 1 : job.runMillis;
-        boolean good = manner == Manner.GOOD && !job.poison;
-        time.after(took, () -> {
+        long durationMillis = behaviour == Behaviour.FAILS_FAST || job.poison ? 1 : job.runMillis;
+        boolean success = behaviour == Behaviour.HEALTHY && !job.poison;
+        time.after(durationMillis, () -> {
             running--;
-            busyMillis += good ? took : 0;
-            onEnd.accept(good ? AttemptOutcome.ANSWERED : AttemptOutcome.FAILED);
+            busyMillis += success ? durationMillis : 0;
+            onEnd.accept(success ? AttemptOutcome.ANSWERED : AttemptOutcome.FAILED);
         });
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/Rules.java
+++ b/model/src/main/java/org/lupinpaddle/model/Rules.java
@@ -28,90 +28,95 @@
 import org.lupinpaddle.core.job.StepSpec;
 import org.lupinpaddle.core.job.Submission;
 import org.lupinpaddle.core.job.TaskId;
-import org.lupinpaddle.core.run.EndReport;
+import org.lupinpaddle.core.run.RunResult;
 import org.lupinpaddle.core.run.StartOrder;
 
-/** Holds what workers and callers see against the rules, and ends a history at the first that is broken. */
+/** Tracks what workers and callers observe, checks it against the rules, and ends a history at the first violation. */
 final class Rules {
 
-    /** A rule. */
+    /** The rules that every history must satisfy. */
     enum Rule {
-        /** A task runs at most once at a time, and not again after it was done. */
+        /** A task runs at most once at a time, and not again after it is done. */
         TWICE,
         /** A task starts after the steps before its own. */
         ORDER,
-        /** Nothing starts that nobody asked for, or that was cancelled a while ago. */
+        /** Only submitted jobs start, and none that was cancelled a while ago. */
         UNASKED,
-        /** Nothing starts of a job all of whose submissions were refused. */
+        /** No task starts if every submission of its job was refused. */
         REFUSED,
-        /** No more starts than attempts, and an end to the starts of what crashes its workers. */
+        /**
+         * A task starts no more often than its queue allows, and a task that crashes its workers is eventually given
+         * up.
+         */
         BUDGET,
-        /** Tasks start on workers of their service, with the label, within the most of one worker. */
+        /**
+         * Tasks start on workers of their service that have the required label, within the limit of tasks per worker.
+         */
         ROUTE,
-        /** A worker that does not guard its room is not taken beyond it. */
+        /** A worker that does not enforce its own resource limits is not given more than it has. */
         LIMIT,
-        /** Lasting tasks at work are not taken away by more than their caller allows. */
+        /** No more serving long-running tasks are stopped at a time than their caller allows. */
         AVAIL,
-        /** A worker that drains gets nothing new. */
+        /** A draining worker gets no new tasks. */
         DRAIN,
         /** Orders on instances come from one owner at a time. */
         ONE,
-        /** Callers are told the truth. */
+        /** Callers are told that a job is completed only if it is. */
         MIXED,
-        /** Accepted work is done in the end. */
+        /** Accepted jobs are completed in the end, and callers are told no false failure, cancellation or absence. */
         LOST,
-        /** No more instances of a wave are down than allowed. */
+        /** No more instances of a wave are down at a time than allowed, and the wave completes. */
         WAVE,
         /** A workspace's running tasks stay within its quota. */
         QUOTA,
         /** Keys are accepted or refused according to a configuration that may be in force. */
         CONFIG,
-        /** After a loss of power of all entries service comes back. */
+        /** Service recovers after all entries lose power. */
         RECOVER
     }
 
-    /** A task under which so many workers have crashed may be given up. */
-    static final int CRASHES_THAT_ALLOW_TO_GIVE_UP = 2;
+    /** The number of crashed workers after which a task may be given up. */
+    static final int MIN_CRASHES_TO_GIVE_UP = 2;
 
-    // What crashes its workers is not started so often after so many have crashed.
-    private static final int CRASHES_THAT_TELL = 3;
-    private static final int STARTS_TOO_MANY = 3;
-    private static final long CANCEL_MILLIS = 3_000;
-    private static final long NOTICE_MILLIS = 4_500;
-    private static final long NOTED_AFTER_LAPSE_MILLIS = 1_000;
+    // A task that has crashed three workers must not start three more times.
+    private static final int CRASHES_BEFORE_START_LIMIT = 3;
+    private static final int START_LIMIT_AFTER_CRASHES = 3;
+    private static final long CANCEL_GRACE_MILLIS = 3_000;
+    private static final long DETECTION_MILLIS = 4_500;
+    private static final long ACKNOWLEDGED_AFTER_LAPSE_MILLIS = 1_000;
 
     private final VirtualTime time;
-    private final Map<String, JobTruth> jobs = new HashMap<>();
+    private final Map<String, TrackedJob> jobs = new HashMap<>();
     private @Nullable SimWorkspaces workspaces;
 
-    /** What is true of a job, whoever knows it. */
-    static final class JobTruth {
+    /** The actual state of a job, independent of what any entry knows. */
+    static final class TrackedJob {
         final String id;
         final String service;
         final int maxAttempts;
         final Submission submission;
-        final Map<TaskId, TaskTruth> tasks = new HashMap<>();
+        final Map<TaskId, TrackedTask> tasks = new HashMap<>();
         /** The name of its workspace; empty if it has none. */
         String workspace = "";
 
-        boolean hopeless;
-        long handedInAt = World.NEVER;
+        boolean alwaysFails;
+        long submittedAt = World.NEVER;
         boolean accepted;
         long acceptedAt;
         boolean allRefused;
         long cancelAnsweredAt = World.NEVER;
         boolean cancelSent;
-        boolean saidToHaveFailed;
+        boolean reportedFailed;
 
-        JobTruth(String id, String service, int maxAttempts, Submission submission) {
+        TrackedJob(String id, String service, int maxAttempts, Submission submission) {
             this.id = id;
             this.service = service;
             this.maxAttempts = maxAttempts;
             this.submission = submission;
         }
 
-        TaskTruth task(TaskId t) {
-            return tasks.computeIfAbsent(t, k -> new TaskTruth(acceptedAt));
+        TrackedTask task(TaskId t) {
+            return tasks.computeIfAbsent(t, k -> new TrackedTask(acceptedAt));
         }
 
         StepSpec step(TaskId t) {
@@ -127,17 +132,17 @@
                     .sum();
         }
 
-        /** Returns how many workers have crashed under one of its tasks, at most. */
-        int maxCrashedUnder() {
-            return tasks.values().stream().mapToInt(t -> t.crashedUnder).max().orElse(0);
+        /** Returns the largest number of workers that crashed under any of its tasks. */
+        int maxWorkerCrashes() {
+            return tasks.values().stream().mapToInt(t -> t.workerCrashes).max().orElse(0);
         }
 
-        /** Returns whether a task has failed as often as its queue allows. */
+        /** Returns whether one of its tasks has failed as often as its queue allows. */
         boolean hasUsedUpAttempts() {
             return tasks.values().stream().anyMatch(t -> t.failed >= maxAttempts);
         }
 
-        boolean lasting() {
+        boolean isLongRunning() {
             return submission.steps().stream().anyMatch(StepSpec::longRunning);
         }
 
@@ -169,42 +174,45 @@
         }
     }
 
-    /** What is true of a task. */
-    static final class TaskTruth {
+    /** The actual state of a task. */
+    static final class TrackedTask {
         @Nullable
         SimWorker runsOn;
 
         boolean done;
-        boolean doneNoted;
-        /** When an end as done was first noted after a lapse of its worker's lease; starts sent before may still arrive. */
-        long doneNotedAfterLapseAt = World.NEVER;
-
-        /** Ends as done, by worker and run, after which the task was started again. */
-        final Set<String> startedAfter = new HashSet<>();
-
-        final Set<String> doneEnds = new HashSet<>();
-        /** The same, with what has become of them. */
-        final List<SimEnd> doneKept = new ArrayList<>();
-
-        /** How many workers have crashed while they ran it, whatever the cause. */
-        int crashedUnder;
-        /** How many it has crashed itself. */
-        int crashedByIt;
-
-        int startedAfterCrashes;
-        int failedNoted;
+        boolean doneAcknowledged;
+        /**
+         * When a completion was first acknowledged after a lapse of its worker's lease; starts sent before may still
+         * arrive.
+         */
+        long doneAcknowledgedAfterLapseAt = World.NEVER;
+
+        /** Completed runs, by worker and run, after which the task was started again. */
+        final Set<String> restartedAfter = new HashSet<>();
+
+        final Set<String> completedRunIds = new HashSet<>();
+        /** The completed runs with their state on the worker. */
+        final List<CompletedRun> completedRuns = new ArrayList<>();
+
+        /** The number of workers that crashed while they ran it, whatever the cause. */
+        int workerCrashes;
+        /** The number of workers that the task itself crashed. */
+        int crashesCaused;
+
+        int startsAfterCrashes;
+        int failuresAcknowledged;
         int failed;
-        boolean atWork;
-        boolean takenAway;
-        long awaySince;
+        boolean serving;
+        boolean removedByOrder;
+        long notServingSince;
 
-        TaskTruth(long awaySince) {
-            this.awaySince = awaySince;
+        TrackedTask(long notServingSince) {
+            this.notServingSince = notServingSince;
         }
 
-        /** Away through an order, or for so long that any cause counts. */
-        boolean isAway(long now) {
-            return !atWork && (takenAway || now - awaySince >= NOTICE_MILLIS);
+        /** Returns whether it does not serve, because of an order or for so long that the owner must have noticed. */
+        boolean isUnavailable(long now) {
+            return !serving && (removedByOrder || now - notServingSince >= DETECTION_MILLIS);
         }
     }
 
@@ -213,243 +221,250 @@
     }
 
     /** Enables the quota check on starts. */
-    void checkQuotasOf(SimWorkspaces checked) {
-        workspaces = checked;
+    void checkQuotasOf(SimWorkspaces limitedWorkspaces) {
+        workspaces = limitedWorkspaces;
     }
 
-    JobTruth submitted(String id, String service, int maxAttempts, Submission s) {
-        return jobs.computeIfAbsent(id, i -> new JobTruth(i, service, maxAttempts, s));
+    TrackedJob track(String id, String service, int maxAttempts, Submission s) {
+        return jobs.computeIfAbsent(id, i -> new TrackedJob(i, service, maxAttempts, s));
     }
 
     @Nullable
-    JobTruth job(String id) {
+    TrackedJob job(String id) {
         return jobs.get(id);
     }
 
-    Iterable<JobTruth> jobs() {
+    Iterable<TrackedJob> jobs() {
         return jobs.values();
     }
 
-    void broken(Rule r, String how) {
-        throw new RuleBrokenException(r.name(), "at " + time.now() + " ms: " + how);
+    void violation(Rule r, String detail) {
+        throw new RuleViolationException(r.name(), "at " + time.now() + " ms: " + detail);
     }
 
-    void require(Rule r, boolean holds, String how) {
-        if (!holds) {
-            broken(r, how);
+    void require(Rule r, boolean satisfied, String detail) {
+        if (!satisfied) {
+            violation(r, detail);
         }
     }
 
-    /** A worker begins a run; bounds of time do not hold for an order that it carries out late. */
-    void started(SimWorker w, StartOrder o, boolean late) {
-        String what = o.jobId() + "." + o.task() + " run " + o.run() + " on " + w.life();
-        JobTruth job = jobs.get(o.jobId());
+    /** Checks the start of a run. Time limits do not apply to an order that the worker carries out late. */
+    void onStart(SimWorker w, StartOrder o, boolean late) {
+        String what = o.jobId() + "." + o.task() + " run " + o.run() + " on " + w.incarnationId();
+        TrackedJob job = jobs.get(o.jobId());
         if (job == null) {
-            broken(Rule.UNASKED, what + ": no such job");
+            violation(Rule.UNASKED, what + ": no such job");
             return;
         }
         require(Rule.UNASKED, o.text().equals(job.submission.text()), what + ": another text");
         require(Rule.REFUSED, !job.allRefused, what + ": every submission was refused");
         require(
                 Rule.UNASKED,
-                late || time.now() <= job.cancelAnsweredAt + CANCEL_MILLIS,
+                late || time.now() <= job.cancelAnsweredAt + CANCEL_GRACE_MILLIS,
                 what + ": cancelled at " + job.cancelAnsweredAt);
         require(Rule.ROUTE, job.service.equals(w.service()), what + ": worker of " + w.service());
         require(Rule.ROUTE, w.facts().hasLabel(job.step(o.task()).label()), what + ": label missing");
-        require(Rule.DRAIN, late || time.now() <= w.drainsSince() + World.DRAIN_MILLIS, what + ": draining");
+        require(Rule.DRAIN, late || time.now() <= w.drainingSince() + World.DRAIN_MILLIS, what + ": draining");
         checkOrder(job, o.task(), what);
-        checkSpread(job, o.task(), w, what);
-        TaskTruth t = job.task(o.task());
+        checkPerWorkerLimit(job, o.task(), w, what);
+        TrackedTask t = job.task(o.task());
         require(
                 Rule.TWICE,
                 t.runsOn == null || !t.runsOn.isUp(),
                 what + ": it runs already on " + (t.runsOn == null ? "" : t.runsOn.id()));
         if (t.done) {
-            require(Rule.TWICE, !t.doneNoted, what + ": it was done and that was noted");
-            t.doneKept.forEach(e -> require(
-                    Rule.TWICE, !e.mustBeKnown(), what + ": it was done on " + e.on.id() + ", which kept that"));
-            t.startedAfter.addAll(t.doneEnds);
+            require(Rule.TWICE, !t.doneAcknowledged, what + ": it was done and that was noted");
+            t.completedRuns.forEach(e -> require(
+                    Rule.TWICE, !e.forbidsRestart(), what + ": it was done on " + e.worker.id() + ", which kept that"));
+            t.restartedAfter.addAll(t.completedRunIds);
             require(
                     Rule.TWICE,
-                    late || time.now() <= t.doneNotedAfterLapseAt + NOTED_AFTER_LAPSE_MILLIS,
-                    what + ": its end as done was noted at " + t.doneNotedAfterLapseAt
+                    late || time.now() <= t.doneAcknowledgedAfterLapseAt + ACKNOWLEDGED_AFTER_LAPSE_MILLIS,
+                    what + ": its end as done was noted at " + t.doneAcknowledgedAfterLapseAt
                             + ", after a lapse of the lease");
         }
         if (!job.step(o.task()).longRunning()) {
-            require(Rule.BUDGET, t.failedNoted < job.maxAttempts, what + ": failed " + t.failedNoted + " times");
+            require(
+                    Rule.BUDGET,
+                    t.failuresAcknowledged < job.maxAttempts,
+                    what + ": failed " + t.failuresAcknowledged + " times");
         }
         checkCrashes(t, what);
         t.runsOn = w;
-        t.atWork = false;
+        t.serving = false;
         checkQuota(job, o.task(), what);
     }
 
-    private void checkQuota(JobTruth job, TaskId started, String what) {
-        SimWorkspaces checked = workspaces;
-        if (checked == null || job.workspace.isEmpty()) {
+    private void checkQuota(TrackedJob job, TaskId started, String what) {
+        SimWorkspaces limitedWorkspaces = workspaces;
+        if (limitedWorkspaces == null || job.workspace.isEmpty()) {
             return;
         }
         long running = runningCpu(job.workspace, j -> true);
-        // The rule allows one task beyond the tolerated overage.
-        double limit = checked.maxCpu(job.workspace) + job.step(started).need().cpuMillis();
+        // The rule allows one task beyond the tolerance.
+        double limit = limitedWorkspaces.maxCpu(job.workspace)
+                + job.step(started).need().cpuMillis();
         require(Rule.QUOTA, running <= limit, what + ": " + job.workspace + " runs " + running + ", limit " + limit);
     }
 
-    /** Returns the CPU that a workspace's running tasks of some jobs use, in thousandths of a core. */
-    long runningCpu(String workspace, Predicate<JobTruth> which) {
+    /** Returns the CPU that the running tasks of a workspace's matching jobs use, in thousandths of a core. */
+    long runningCpu(String workspace, Predicate<TrackedJob> which) {
         return jobs.values().stream()
                 .filter(j -> j.workspace.equals(workspace) && which.test(j))
-                .mapToLong(JobTruth::runningCpu)
+                .mapToLong(TrackedJob::runningCpu)
                 .sum();
     }
 
-    private void checkCrashes(TaskTruth t, String what) {
-        if (t.crashedByIt >= CRASHES_THAT_TELL) {
-            t.startedAfterCrashes++;
+    private void checkCrashes(TrackedTask t, String what) {
+        if (t.crashesCaused >= CRASHES_BEFORE_START_LIMIT) {
+            t.startsAfterCrashes++;
             require(
                     Rule.BUDGET,
-                    t.startedAfterCrashes < STARTS_TOO_MANY,
-                    what + ": started " + t.startedAfterCrashes + " times after its third crash");
+                    t.startsAfterCrashes < START_LIMIT_AFTER_CRASHES,
+                    what + ": started " + t.startsAfterCrashes + " times after its third crash");
         }
     }
 
-    /** A worker crashes while it runs the task, whatever the cause. */
-    void crashedUnder(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    /** Records that a worker crashed while it ran the task, whatever the cause. */
+    void onWorkerCrash(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).crashedUnder++;
+            job.task(id).workerCrashes++;
         }
     }
 
-    /** A task crashes its worker. */
-    void crashedByTask(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    /** Records that a task crashed its worker. */
+    void onCrashByTask(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).crashedByIt++;
+            job.task(id).crashesCaused++;
         }
     }
 
-    private void checkOrder(JobTruth job, TaskId id, String what) {
+    private void checkOrder(TrackedJob job, TaskId id, String what) {
         for (int before : job.step(id).after()) {
             require(Rule.ORDER, job.isStepDone(id.time(), before), what + ": step " + before);
         }
     }
 
-    private void checkSpread(JobTruth job, TaskId id, SimWorker w, String what) {
-        int most = job.step(id).perWorkerMost();
-        if (most == 0) {
+    private void checkPerWorkerLimit(TrackedJob job, TaskId id, SimWorker w, String what) {
+        int maxPerWorker = job.step(id).perWorkerMost();
+        if (maxPerWorker == 0) {
             return;
         }
-        long there = job.tasks.entrySet().stream()
+        long runningOnWorker = job.tasks.entrySet().stream()
                 .filter(e -> e.getKey().step() == id.step() && e.getValue().runsOn == w)
                 .count();
-        require(Rule.ROUTE, there < most, what + ": " + there + " of its step are there");
+        require(Rule.ROUTE, runningOnWorker < maxPerWorker, what + ": " + runningOnWorker + " of its step are there");
     }
 
-    /** A run is over on its worker. */
-    void ended(SimWorker w, String jobId, TaskId id, int run, EndKind kind) {
-        JobTruth job = jobs.get(jobId);
+    /** Records that a run has ended on its worker. */
+    void onRunEnded(SimWorker w, String jobId, TaskId id, int run, EndKind kind) {
+        TrackedJob job = jobs.get(jobId);
         if (job == null) {
             return;
         }
-        TaskTruth t = job.task(id);
+        TrackedTask t = job.task(id);
         if (t.runsOn == w) {
             t.runsOn = null;
-            setAtWork(t, false);
+            setServing(t, false);
         }
         if (kind == EndKind.DONE) {
             t.done = true;
-            t.doneEnds.add(w.life() + "/" + run);
+            t.completedRunIds.add(w.incarnationId() + "/" + run);
         } else if (kind == EndKind.FAILED) {
             t.failed++;
         }
     }
 
-    /** A run has done its task. */
-    void done(String jobId, TaskId id, SimEnd end) {
-        JobTruth job = jobs.get(jobId);
+    /** Records that a run has completed its task. */
+    void onTaskDone(String jobId, TaskId id, CompletedRun end) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            job.task(id).doneKept.add(end);
+            job.task(id).completedRuns.add(end);
         }
     }
 
-    /** A worker has been told to forget an end: that notes it, unless the worker's lease has lapsed since the end. */
-    void noted(SimWorker w, EndReport end, boolean lapsedSince) {
-        JobTruth job = jobs.get(end.jobId());
+    /**
+     * Records that an owner acknowledged the end of a run. After a lapse of the worker's lease the acknowledgement no
+     * longer proves that the owner received the end.
+     */
+    void onAcknowledged(SimWorker w, RunResult end, boolean lapsedSince) {
+        TrackedJob job = jobs.get(end.jobId());
         if (job == null) {
             return;
         }
-        TaskTruth t = job.task(end.task());
+        TrackedTask t = job.task(end.task());
         if (end.kind() == EndKind.DONE) {
             if (lapsedSince) {
-                t.doneNotedAfterLapseAt = Math.min(t.doneNotedAfterLapseAt, time.now());
+                t.doneAcknowledgedAfterLapseAt = Math.min(t.doneAcknowledgedAfterLapseAt, time.now());
             } else {
-                t.doneNoted = true;
+                t.doneAcknowledged = true;
             }
-            boolean again = t.startedAfter.contains(w.life() + "/" + end.run());
+            boolean restarted = t.restartedAfter.contains(w.incarnationId() + "/" + end.run());
             require(
                     Rule.TWICE,
-                    !again || lapsedSince,
+                    !restarted || lapsedSince,
                     end.jobId() + "." + end.task() + ": started again after the end that is noted now");
         } else if (end.kind() == EndKind.FAILED && !lapsedSince) {
-            t.failedNoted++;
+            t.failuresAcknowledged++;
         }
     }
 
-    void atWork(String jobId, TaskId id) {
-        JobTruth job = jobs.get(jobId);
+    void onServing(String jobId, TaskId id) {
+        TrackedJob job = jobs.get(jobId);
         if (job != null) {
-            setAtWork(job.task(id), true);
+            setServing(job.task(id), true);
         }
     }
 
-    private void setAtWork(TaskTruth t, boolean yes) {
-        if (t.atWork && !yes) {
-            t.awaySince = time.now();
-        } else if (yes) {
-            t.takenAway = false;
+    private void setServing(TrackedTask t, boolean isServing) {
+        if (t.serving && !isServing) {
+            t.notServingSince = time.now();
+        } else if (isServing) {
+            t.removedByOrder = false;
         }
-        t.atWork = yes;
+        t.serving = isServing;
     }
 
-    /** A lasting task that is at work is about to be ended by an order. */
-    void takenAway(SimWorker w, String jobId, TaskId id, String by) {
-        JobTruth job = jobs.get(jobId);
+    /** Checks an order that is about to stop a serving long-running task. */
+    void onRemovedByOrder(SimWorker w, String jobId, TaskId id, String order) {
+        TrackedJob job = jobs.get(jobId);
         if (job == null || job.cancelSent) {
             return;
         }
         StepSpec step = job.step(id);
         boolean covered =
-                step.longRunning() && step.mayMiss() > 0 && job.task(id).atWork && w.drainsSince() == World.NEVER;
+                step.longRunning() && step.mayMiss() > 0 && job.task(id).serving && w.drainingSince() == World.NEVER;
         if (!covered) {
             return;
         }
-        Set<Integer> away = new HashSet<>();
+        Set<Integer> unavailable = new HashSet<>();
         for (int i = 0; i < step.count(); i++) {
             TaskId other = new TaskId(id.time(), id.step(), i);
-            if (i != id.index() && job.task(other).isAway(time.now())) {
-                away.add(i);
+            if (i != id.index() && job.task(other).isUnavailable(time.now())) {
+                unavailable.add(i);
             }
         }
         require(
                 Rule.AVAIL,
-                away.size() < step.mayMiss(),
-                jobId + "." + id + " taken from " + w.id() + " by " + by + " while " + away + " are away");
-        job.task(id).takenAway = true;
+                unavailable.size() < step.mayMiss(),
+                jobId + "." + id + " taken from " + w.id() + " by " + order + " while " + unavailable + " are away");
+        job.task(id).removedByOrder = true;
     }
 
-    /** A caller is told that a job has come to an end. */
-    void toldCompleted(JobTruth job) {
+    /** Checks that a job reported as completed is completed. */
+    void onReportedCompleted(TrackedJob job) {
         require(Rule.MIXED, job.allDone(), job.id + " is said to be completed, and is not");
     }
 
-    void toldFailed(JobTruth job) {
-        boolean cause = job.hasUsedUpAttempts() || job.maxCrashedUnder() >= CRASHES_THAT_ALLOW_TO_GIVE_UP;
-        job.saidToHaveFailed = true;
-        require(Rule.LOST, cause, job.id + " is said to have failed, without cause");
+    void onReportedFailed(TrackedJob job) {
+        boolean mayHaveFailed = job.hasUsedUpAttempts() || job.maxWorkerCrashes() >= MIN_CRASHES_TO_GIVE_UP;
+        job.reportedFailed = true;
+        require(Rule.LOST, mayHaveFailed, job.id + " is said to have failed, without cause");
     }
 
-    void toldUnknown(JobTruth job) {
+    void onReportedUnknown(TrackedJob job) {
         require(Rule.LOST, !job.accepted, job.id + " was accepted at " + job.acceptedAt + " and is said not to exist");
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimEntry.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimEntry.java
@@ -17,14 +17,14 @@
 
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.daemon.jobs.JobMeters;
+import org.lupinpaddle.daemon.jobs.JobMetrics;
 import org.lupinpaddle.daemon.jobs.JobNode;
 import org.lupinpaddle.daemon.settings.JobSettings;
 
-/** One entry: its place, and the life of the process that runs there now. */
+/** An entry with its name and hall, and the process that currently runs it. */
 final class SimEntry {
 
-    private static final long SERVE_ON_MILLIS = 3_000;
+    private static final long SHUTDOWN_MILLIS = 3_000;
 
     final String name;
     final String hall;
@@ -40,16 +40,16 @@
         this.hall = hall;
         this.kind = kind;
         loop = new VirtualLoop(world.time);
-        node = life();
+        node = createNode();
     }
 
-    private JobNode life() {
+    private JobNode createNode() {
         loop = new VirtualLoop(world.time);
         up = true;
         Link out = new Link(world.time, kind.linkBytesPerMilli());
         Link in = new Link(world.time, kind.linkBytesPerMilli());
         JobSettings.Bounds bounds = new JobSettings.Bounds(
-                SimWorker.MOST_HOLD_MILLIS, SimWorker.STOP_MILLIS, 6, World.LEASE_MILLIS, World.UPKEEP_MILLIS, false);
+                SimWorker.MAX_HOLD_MILLIS, SimWorker.STOP_MILLIS, 6, World.LEASE_MILLIS, World.UPKEEP_MILLIS, false);
         return new JobNode(
                 loop,
                 new JobNode.Parts(
@@ -62,7 +62,7 @@
                         new SimInstancePort(world, in),
                         bounds,
                         () -> World.EPOCH + world.time.now(),
-                        new JobMeters()));
+                        new JobMetrics()));
     }
 
     void start() {
@@ -86,28 +86,28 @@
             return;
         }
         up = false;
-        world.fleet.leaves(name);
+        world.fleet.markLeaving(name);
         loop.close();
-        world.time.after(downMillis, this::restart);
+        world.time.schedule(downMillis, this::restart);
     }
 
     private void restart() {
         if (!up) {
-            world.fleet.returns(name);
-            node = life();
+            world.fleet.markReturned(name);
+            node = createNode();
             node.start();
         }
     }
 
-    /** Stops as on SIGTERM: hands over, serves on for a while, ends, and comes back. */
+    /** Stops as on SIGTERM: hands its duties over, keeps serving for a while, exits and restarts. */
     void stopGracefully() {
         if (!isUp()) {
             return;
         }
-        world.fleet.leaves(name);
+        world.fleet.markLeaving(name);
         node.stop();
         VirtualLoop ending = loop;
-        world.time.after(SERVE_ON_MILLIS, () -> {
+        world.time.schedule(SHUTDOWN_MILLIS, () -> {
             if (loop == ending) {
                 kill(500);
             }
@@ -120,6 +120,6 @@
         }
         VirtualLoop frozen = loop;
         frozen.freeze();
-        world.time.after(millis, frozen::thaw);
+        world.time.schedule(millis, frozen::thaw);
     }
 }
--- a/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimInstancePort.java
@@ -16,12 +16,12 @@
 package org.lupinpaddle.model;
 
 import java.util.concurrent.CompletableFuture;
-import org.lupinpaddle.core.fleet.Errand;
 import org.lupinpaddle.core.fleet.InstanceList;
+import org.lupinpaddle.core.fleet.InstanceOperation;
 import org.lupinpaddle.core.fleet.InstanceOrderOutcome;
 import org.lupinpaddle.daemon.port.InstanceOrders;
 
-/** One entry's way to the instances. */
+/** An entry's client for the platform's list of instances and orders on them. */
 final class SimInstancePort implements InstanceOrders {
 
     private final World world;
@@ -34,16 +34,17 @@
 
     @Override
     public CompletableFuture<InstanceList> list() {
-        CompletableFuture<InstanceList> f = new CompletableFuture<>();
+        CompletableFuture<InstanceList> future = new CompletableFuture<>();
         world.fleet
                 .list(world.net)
-                .thenAccept(all ->
-                        in.carry(WireBytes.ofInstances(all), () -> true, () -> f.complete(InstanceList.of(all))));
-        return f;
+                .thenAccept(all -> in.transfer(
+                        WireBytes.ofInstances(all), () -> true, () -> future.complete(InstanceList.of(all))));
+        return future;
     }
 
     @Override
-    public CompletableFuture<InstanceOrderOutcome> order(String instance, Errand errand, String holder, long fence) {
+    public CompletableFuture<InstanceOrderOutcome> order(
+            String instance, InstanceOperation errand, String holder, long fence) {
         return world.fleet.order(world.net, instance, errand, holder, fence).thenApply(o -> {
             world.history.add("order " + instance + " " + errand + " by " + holder + ": " + o);
             return o;
--- a/model/src/main/java/org/lupinpaddle/model/SimStore.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimStore.java
@@ -29,10 +29,10 @@
 import org.lupinpaddle.daemon.port.StoreCommit;
 import org.lupinpaddle.daemon.port.StoreItem;
 
-/** The platform's store: items with revisions, leases, history, and commits that are whole or not at all. */
+/** An in-memory model of the platform's store: items with revisions, leases, a change history and atomic commits. */
 final class SimStore {
 
-    // About what the platform's store gives in one answer.
+    // About the page size of the platform's store.
     private static final int PAGE_ITEMS = 500;
     private static final long PAGE_BYTES = 1 << 20;
 
@@ -44,10 +44,14 @@
     private long revision = 1;
     private long compactedUpTo;
     private long nextLease = 1;
-    /** While leases wait, none runs out. */
-    private boolean leasesWait;
+    /** While set, no lease expires. */
+    private boolean leasesPaused;
 
-    /** Some items in a row, whether more follow, and the store's revision. */
+    /**
+     * A page of consecutive items with the store's revision.
+     *
+     * @param more whether more items follow
+     */
     record Page(List<StoreItem> items, boolean more, long revision) {}
 
     private record Event(
@@ -55,12 +59,12 @@
 
     private static final class Lease {
         final long ttl;
-        long endsAt;
+        long expiresAt;
         final Set<String> keys = new HashSet<>();
 
-        Lease(long ttl, long endsAt) {
+        Lease(long ttl, long expiresAt) {
             this.ttl = ttl;
-            this.endsAt = endsAt;
+            this.expiresAt = expiresAt;
         }
     }
 
@@ -72,42 +76,43 @@
         return Optional.ofNullable(items.get(key));
     }
 
-    /** Returns a page of the items under a prefix, from behind a key on. */
+    /** Returns a page of the items under a prefix, starting behind the key {@code after}. */
     Page page(String prefix, String after) {
-        List<StoreItem> some = new ArrayList<>();
+        List<StoreItem> page = new ArrayList<>();
         long bytes = 0;
         for (StoreItem i :
                 items.tailMap(after.isEmpty() ? prefix : after, after.isEmpty()).values()) {
             if (!i.key().startsWith(prefix)) {
                 break;
             }
-            if (some.size() >= PAGE_ITEMS || bytes >= PAGE_BYTES) {
-                return new Page(some, true, revision);
+            if (page.size() >= PAGE_ITEMS || bytes >= PAGE_BYTES) {
+                return new Page(page, true, revision);
             }
-            some.add(i);
+            page.add(i);
             bytes += WireBytes.of(i);
         }
-        return new Page(some, false, revision);
+        return new Page(page, false, revision);
     }
 
     /**
-     * Returns what has changed after a revision, or null when that is not kept any more. Up to a later revision the
-     * caller has looked already and seen nothing: with hundreds of watches, nobody can look at all history each time.
+     * Returns the changes under a prefix after a revision, or null if the history no longer reaches back that far. The
+     * caller has already found no changes up to {@code seenRevision}; skipping these keeps hundreds of watches from
+     * scanning the whole history each time.
      */
     @Nullable
-    StoreChanges changes(String prefix, long after, long seen) {
+    StoreChanges changes(String prefix, long after, long seenRevision) {
         if (after < compactedUpTo) {
             return null;
         }
         List<StoreChanges.Change> all = new ArrayList<>();
-        long at = after;
-        for (Event e : history.subList(firstAfter(seen), history.size())) {
-            at = Math.max(at, e.revision);
+        long upTo = after;
+        for (Event e : history.subList(firstAfter(seenRevision), history.size())) {
+            upTo = Math.max(upTo, e.revision);
             if (e.key.startsWith(prefix)) {
                 all.add(new StoreChanges.Change(e.key, e.item));
             }
         }
-        return new StoreChanges(all, at);
+        return new StoreChanges(all, upTo);
     }
 
     private int firstAfter(long after) {
@@ -122,15 +127,15 @@
         return revision;
     }
 
-    /** Runs a step at the next change. */
-    void atNextChange(Runnable r) {
+    /** Runs an action once, at the next change. */
+    void onNextChange(Runnable r) {
         watchers.add(r);
     }
 
     void compact() {
         compactedUpTo = revision;
         history.clear();
-        wake();
+        notifyWatchers();
     }
 
     CommitResult commit(StoreCommit c) {
@@ -150,7 +155,7 @@
             put(new StoreItem(p.key(), p.value(), revision, p.lease()));
         }
         c.removals().forEach(this::remove);
-        wake();
+        notifyWatchers();
         return new CommitResult(CommitResult.Outcome.MADE, revision, List.of());
     }
 
@@ -174,27 +179,27 @@
         }
     }
 
-    /** Writes what operators and workers write. */
+    /** Writes an item without a lease, as operators and workers do. */
     void set(String key, String value) {
         revision++;
         put(new StoreItem(key, value, revision, 0));
-        wake();
+        notifyWatchers();
     }
 
-    /** Writes bytes that are no text. */
-    void setNoText(String key) {
+    /** Writes a value that is not text. */
+    void putNonText(String key) {
         revision++;
         put(StoreItem.notText(key, revision, 0));
-        wake();
+        notifyWatchers();
     }
 
     void clear(String key) {
         revision++;
         remove(key);
-        wake();
+        notifyWatchers();
     }
 
-    private void wake() {
+    private void notifyWatchers() {
         List<Runnable> all = List.copyOf(watchers);
         watchers.clear();
         all.forEach(Runnable::run);
@@ -208,18 +213,18 @@
     }
 
     private void expireLater(long id, long millis) {
-        time.after(millis, () -> {
+        time.schedule(millis, () -> {
             Lease l = leases.get(id);
             if (l == null) {
                 return;
             }
-            if (leasesWait) {
-                l.endsAt = Math.max(l.endsAt, time.now() + l.ttl);
+            if (leasesPaused) {
+                l.expiresAt = Math.max(l.expiresAt, time.now() + l.ttl);
             }
-            if (time.now() >= l.endsAt) {
+            if (time.now() >= l.expiresAt) {
                 endLease(id);
             } else {
-                expireLater(id, l.endsAt - time.now());
+                expireLater(id, l.expiresAt - time.now());
             }
         });
     }
@@ -229,7 +234,7 @@
         if (l == null) {
             return false;
         }
-        l.endsAt = time.now() + l.ttl;
+        l.expiresAt = time.now() + l.ttl;
         return true;
     }
 
@@ -243,11 +248,11 @@
                 .filter(k -> items.containsKey(k) && items.get(k).lease() == id)
                 .toList()
                 .forEach(this::remove);
-        wake();
+        notifyWatchers();
         return true;
     }
 
-    /** Takes the keys away that are under a lease and have this value; the lease lives on, and nobody is told. */
+    /** Removes the leased keys with this value. Their leases stay, and their holders are not notified. */
     void revoke(String value) {
         revision++;
         items.values().stream()
@@ -255,10 +260,10 @@
                 .map(StoreItem::key)
                 .toList()
                 .forEach(this::remove);
-        wake();
+        notifyWatchers();
     }
 
-    void leasesWait(boolean wait) {
-        leasesWait = wait;
+    void setLeasesPaused(boolean wait) {
+        leasesPaused = wait;
     }
 }
