--- a/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
+++ b/model/src/main/java/org/lupinpaddle/model/SimWorkspaces.java
@@ -20,15 +20,15 @@
 import java.util.Random;
 import org.jspecify.annotations.Nullable;
 import org.lupinpaddle.core.job.StepSpec;
-import org.lupinpaddle.core.placement.Room;
+import org.lupinpaddle.core.placement.Resources;
 import org.lupinpaddle.core.workspace.KeyDigest;
 import org.lupinpaddle.core.workspace.Workspace;
 import org.lupinpaddle.core.workspace.Workspaces;
 
 /**
- * The workspaces of a history. Each caller belongs to one; one of them submits a burst of jobs, and configuration changes lower
- * and raise quotas and replace, revoke and restore keys. Uses its own random generator, so that histories without workspaces
- * do not change.
+ * The workspaces of a history. Each caller belongs to one; one of them submits a burst of jobs, and configuration
+ * changes lower and raise quotas and replace, revoke and restore keys. Uses its own random generator, so that
+ * histories without workspaces do not change.
  */
 final class SimWorkspaces {
 
@@ -78,12 +78,12 @@
 
     void plan(long from, long millis) {
         for (int i = 0; i < CHANGES; i++) {
-            world.time.after(from + random.nextInt((int) millis), this::change);
+            world.time.schedule(from + random.nextInt((int) millis), this::change);
         }
-        world.time.after(from + random.nextInt((int) millis), this::burst);
-        world.time.after(from + millis, () -> {
+        world.time.schedule(from + random.nextInt((int) millis), this::burst);
+        world.time.schedule(from + millis, () -> {
             states.forEach(t -> t.cpu = t.initialCpu);
-            world.configure();
+            world.writeConfiguration();
         });
     }
 
@@ -99,7 +99,7 @@
             default -> t.hasKey = !t.hasKey;
         }
         world.history.add(t.name + " cpu " + t.cpu + " key " + t.key + (t.hasKey ? "" : " revoked"));
-        world.configure();
+        world.writeConfiguration();
     }
 
     private void burst() {
@@ -126,14 +126,14 @@
     Workspaces configured() {
         List<Workspace> all = states.stream()
                 .map(t -> new Workspace(
-                        t.name, t.hasKey ? List.of(KeyDigest.of(t.key())) : List.of(), 1, new Room(t.cpu, 0, 0)))
+                        t.name, t.hasKey ? List.of(KeyDigest.of(t.key())) : List.of(), 1, new Resources(t.cpu, 0, 0)))
                 .toList();
         Workspaces w = new Workspaces(all, List.of());
         versions.add(new Version(world.time.now(), w));
         return w;
     }
 
-    /** Returns the name of the workspace that a caller belongs to. */
+    /** Returns the name of the caller's workspace. */
     String nameOf(int caller) {
         return workspaceOf(caller).name;
     }
@@ -145,7 +145,7 @@
 
     /** Assigns long-running tasks to an unlimited workspace, since they would hold a quota indefinitely. */
     private WorkspaceState workspaceOf(int caller) {
-        return states.get(world.isLasting(caller) ? COUNT : caller % COUNT);
+        return states.get(world.isLongRunning(caller) ? COUNT : caller % COUNT);
     }
 
     /** Returns whether the workspace, which may be none, has a quota. */
--- a/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
+++ b/model/src/main/java/org/lupinpaddle/model/VirtualTime.java
@@ -17,17 +17,21 @@
 
 import java.util.PriorityQueue;
 
-/** Time that passes only when nothing is left to be done: steps run in the order of their moments. */
+/**
+ * A discrete-event scheduler: time advances directly to the next scheduled action. Actions run in order of their time,
+ * and in order of scheduling at the same time.
+ */
 final class VirtualTime {
 
-    private final PriorityQueue<Step> steps = new PriorityQueue<>();
+    private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
     private long now;
     private long sequence;
 
-    private record Step(long at, long sequence, Runnable what) implements Comparable<Step> {
+    private record ScheduledAction(long atMillis, long sequence, Runnable action)
+            implements Comparable<ScheduledAction> {
         @Override
-        public int compareTo(Step o) {
-            int c = Long.compare(at, o.at);
+        public int compareTo(ScheduledAction o) {
+            int c = Long.compare(atMillis, o.atMillis);
             return c != 0 ? c : Long.compare(sequence, o.sequence);
         }
     }
@@ -36,17 +40,17 @@
         return now;
     }
 
-    /** Runs a step so many milliseconds from now. */
-    void after(long millis, Runnable what) {
-        steps.add(new Step(now + Math.max(0, millis), sequence++, what));
+    /** Schedules an action a number of milliseconds from now. */
+    void schedule(long millis, Runnable action) {
+        queue.add(new ScheduledAction(now + Math.max(0, millis), sequence++, action));
     }
 
-    /** Lets time pass up to a moment. */
+    /** Runs all actions up to a time and sets the clock to it. */
     void runUntil(long end) {
-        while (!steps.isEmpty() && steps.peek().at <= end) {
-            Step s = steps.poll();
-            now = s.at;
-            s.what.run();
+        while (!queue.isEmpty() && queue.peek().atMillis <= end) {
+            ScheduledAction next = queue.poll();
+            now = next.atMillis;
+            next.action.run();
         }
         now = end;
     }
--- a/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
+++ b/standins/src/main/java/org/lupinpaddle/standins/PlatformStandIn.java
@@ -32,8 +32,8 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The platform in one small process: the configuration store, the lagging instance list, drain and
- * reboot. {@code POST /standin/faults} makes it slow, down, hanging, lossy or more lagging.
+ * A stand-in for the platform: the configuration store, the lagging instance list, drain and reboot. {@code POST
+ * /standin/faults} makes it slow, unavailable or unresponsive, lets it lose replies, or increases the lag of the list.
  */
 public final class PlatformStandIn implements AutoCloseable {
 
@@ -48,7 +48,7 @@
     private final LoopbackServer server;
     private final HttpClient client = new HttpClient();
     private final ScheduledExecutorService timer = Executors.newSingleThreadScheduledExecutor();
-    private final KeyValueStore store = new KeyValueStore(this::tellWatchers);
+    private final KeyValueStore store = new KeyValueStore(this::notifyWatchers);
     private final InstanceList instances = new InstanceList();
     private final List<Watcher> watchers = new ArrayList<>();
     private volatile Faults faults = Faults.NONE;
@@ -56,10 +56,10 @@
 
     private PlatformStandIn(int port) {
         server = new LoopbackServer(port, this::route);
-        server.keepIdle(TimeUnit.HOURS.toMillis(1));
+        server.setIdleTimeout(TimeUnit.HOURS.toMillis(1));
     }
 
-    /** Starts the stand-in on a port, or on one that the system chooses for 0. */
+    /** Starts the stand-in on a port, or on a free one if the port is 0. */
     public static PlatformStandIn start(int port) throws Exception {
         PlatformStandIn p = new PlatformStandIn(port);
         p.client.start();
@@ -68,12 +68,12 @@
         return p;
     }
 
-    /** Returns IP and port. */
+    /** Returns the address as IP:PORT. */
     public String address() {
         return server.address();
     }
 
-    /** Sets faults from their JSON text. */
+    /** Sets the faults from JSON. */
     public void setFaults(String json) throws IOException {
         faults = Faults.of(JsonHttp.MAPPER.readTree(json));
     }
@@ -126,7 +126,7 @@
             return;
         }
         if (f.hang()) {
-            // Kept open without an answer, as a store that hangs does.
+            // The call stays open without an answer, as with a store that hangs.
             return;
         }
         if (f.delayMillis() > 0) {
@@ -168,19 +168,19 @@
         watchers.add(w);
     }
 
-    private void tellWatchers(long revision, List<ObjectNode> events) {
+    private void notifyWatchers(long revision, List<ObjectNode> events) {
         if (faults.hang() || faults.down()) {
             return;
         }
         Iterator<Watcher> it = watchers.iterator();
         while (it.hasNext()) {
             Watcher w = it.next();
-            List<ObjectNode> its = events.stream()
+            List<ObjectNode> matching = events.stream()
                     .filter(e -> KeyValueStore.text(e.path("kv"), "key").startsWith(w.prefix))
                     .toList();
             try {
-                if (!its.isEmpty()) {
-                    writeEvents(w, revision, its);
+                if (!matching.isEmpty()) {
+                    writeEvents(w, revision, matching);
                 }
             } catch (IOException e) {
                 it.remove();
@@ -219,12 +219,13 @@
             }
             JsonHttp.answer(response, callback, OK, list);
         } else {
-            maintain(path.split("/"), body, response, callback);
+            handleMaintenance(path.split("/"), body, response, callback);
         }
     }
 
     // Paths are /instances/ID/drain, /instances/ID/undrain and /instances/ID/reboot.
-    private void maintain(String[] parts, JsonNode body, Response response, Callback callback) throws Exception {
+    private void handleMaintenance(String[] parts, JsonNode body, Response response, Callback callback)
+            throws Exception {
         ObjectNode out = JsonHttp.object();
         if (parts.length != 4) {
             JsonHttp.answer(response, callback, NOT_FOUND, out);
@@ -232,7 +233,7 @@
         }
         String address;
         synchronized (this) {
-            address = instances.accept(parts[2], body, out);
+            address = instances.checkOrder(parts[2], body, out);
             if (address != null) {
                 instances.setLeaving(parts[2], !parts[3].equals("undrain") && !parts[3].equals("reboot"));
             }
